--- a/crates/sandgap-driver/src/core.rs
+++ b/crates/sandgap-driver/src/core.rs
@@ -1,4 +1,4 @@
-//! The core: sole owner of the module, feeds it what was seen and has done what it says, in order.
+//! The core owns the decision module, passes events to it and performs the resulting actions in order.
 
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -18,20 +18,20 @@
 use crate::permit::{Attempts, Denial, LATEST_ANSWER, Place, SendFacts, Violation};
 use crate::starts::Starts;
 
-/// Time since this process began, on a clock that never runs backwards.
+/// Time since the process started, on a monotonic clock.
 pub type Time = Duration;
 
-/// What the client is told has to be on its way this long before the client gives up, whatever happens.
-const LAST_RESORT: Duration = Duration::from_millis(4);
-/// Deadline of a long request whose client has not sent its last byte yet: none, in effect. Whoever carries the request
-/// looks after a client or a backend that stops in the middle.
-const OPEN_ENDED: Duration = Duration::from_secs(1 << 32);
-/// Zones and kinds that are told apart: a bound, whatever discovery comes up with over the years.
-const NAMES: usize = 250;
+/// An unanswered request is answered this long before its client's deadline, so that the answer arrives in time.
+const ANSWER_MARGIN: Duration = Duration::from_millis(4);
+/// Stands for "no deadline" on a long request whose client has not sent its last byte yet. The transport detects a client
+/// or backend that stalls in the middle of the body.
+const NO_DEADLINE: Duration = Duration::from_secs(1 << 32);
+/// Maximum number of distinct zone names, and of kind names, so that discovery can't grow the tables without bound.
+const MAX_NAMES: usize = 250;
 
-/// Decides server, retry and refusal: the module, or in the laboratory a rival on the same model.
+/// Decides on the backend, retries and refusals: the decision module, or in the simulator another policy for comparison.
 pub trait Policy {
-    /// Takes in an event and appends what is to be done, in order; see [`Balancer::handle`].
+    /// Handles an event and appends the resulting actions in order; see [`Balancer::handle`].
     fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>);
 }
 
@@ -41,72 +41,73 @@
     }
 }
 
-/// Does what the core says. Calls come in the order in which things are to happen; none may call back.
+/// Performs the core's effects. Calls come in the order in which they are to take effect; none may call back into the
+/// core.
 pub trait Effects {
-    /// What is kept with a request until its answer is given and its last attempt has ended.
+    /// Caller's data for a request, kept until it is answered and its last attempt has ended.
     type Held;
-    /// A backend's whole answer.
+    /// A backend's complete answer.
     type Reply;
 
-    /// Begins an attempt. Its end must be told exactly once with [`Core::ended`], whatever happens.
+    /// Starts an attempt. The caller must report its end exactly once with [`Core::ended`].
     fn attempt(&mut self, held: &Self::Held, attempt: Attempt);
-    /// Gives a request its one final answer.
+    /// Gives a request its only answer.
     fn answer(
         &mut self, held: &mut Self::Held, request: RequestId, answer: Answer<Self::Reply>, cause: Cause,
     );
-    /// Whether an attempt may begin now; asked at each. A request for which it may not is given up at once.
+    /// Whether an attempt may start now; called for each attempt. If not, the request is answered at once without it.
     fn may_send(&self, _held: &Self::Held) -> bool {
         true
     }
-    /// Whether a request can't be sent again, as a part of it has gone out and is kept nowhere.
+    /// Whether a request can't be sent again because part of its body was sent and not buffered.
     fn is_spent(&self, _held: &Self::Held) -> bool {
         false
     }
-    /// Nothing new goes to an endpoint any more: what is kept for it may go.
+    /// An endpoint gets no new attempts; resources kept for it can be released.
     fn retire(&mut self, endpoint: &Endpoint);
     /// Sends bytes to every other proxy.
     fn broadcast(&mut self, bytes: Vec<u8>);
-    /// Asks for a watch of the list.
+    /// Subscribes to the list of backends.
     fn subscribe(&mut self);
-    /// Asks for the list once.
+    /// Fetches the list of backends once.
     fn fetch_list(&mut self);
-    /// A list of this scope is in force; `some` if it names any backend.
+    /// A list of this scope has been applied; `some` is true if it names any backend.
     fn listed(&mut self, scope: Scope, some: bool);
-    /// The module wanted what may not be, and it was not done.
+    /// The module requested an action that is not allowed; it was not performed.
     fn violation(&mut self, violation: Violation, request: RequestId);
-    /// An answer comes more than [`LATEST_ANSWER`] after its client's time: this process or its machine stood still, or
-    /// something held the answer up.
+    /// An answer is given more than [`LATEST_ANSWER`] after its client's deadline: there was a standstill of the process or
+    /// its machine, or the answer was delayed elsewhere.
     fn late_answer(&mut self, _request: RequestId) {}
-    /// An attempt that the module wanted was not begun.
+    /// An attempt that the module requested was not started.
     fn denied(&mut self, _request: RequestId, _attempt: u32, _denial: Denial) {}
 }
 
-/// The one final answer.
+/// The answer to a request.
 #[derive(Debug)]
 pub enum Answer<R> {
     /// A backend's answer.
     Served(R),
-    /// Trying again is harmless, after a while if one is named.
+    /// The request was not executed, or repeating it is safe; the client may retry, after the given time if there is one.
     Refused(Option<Millis>),
-    /// No word on what was done.
+    /// Whether the request was executed is unknown.
     Failed,
 }
 
-/// Why a request has got its answer.
+/// Why a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// A backend gave it.
+    /// A backend answered.
     Backend,
     /// The module decided so.
     Policy,
-    /// Its client's time, or the process's, was over.
+    /// The client's deadline, or the end of the process, was reached.
     Deadline,
-    /// No attempt may begin for it any more.
+    /// No further attempt is allowed.
     Denied,
 }
 
 impl Cause {
-    /// A word for logs and counters.
+    /// Name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Cause::Backend => "backend",
@@ -117,114 +118,116 @@
     }
 }
 
-/// A request as it comes in.
+/// An incoming request.
 pub struct Arrival<H> {
-    /// Its number, never used twice.
+    /// Request id, never reused.
     pub id: RequestId,
-    /// Its class.
+    /// Request class.
     pub class: ClassId,
-    /// Whether it may run again.
+    /// Whether it may be executed more than once.
     pub effect: Effect,
-    /// Its tenant, where requests have one.
+    /// Tenant, if requests have one.
     pub tenant: Option<TenantId>,
-    /// What it concerns.
+    /// Key of the object that the request concerns, if any.
     pub key: Option<Key>,
-    /// Its expected work.
+    /// Expected work.
     pub hint: Option<Millis>,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Time,
-    /// Of one that may go out while it still comes in: how long the client waits from its last byte, see
-    /// [`Core::received`].
+    /// Only for a long request, which is forwarded while it is still being received: how long the client waits after its
+    /// last byte, see [`Core::received`].
     pub upload: Option<Time>,
-    /// What is kept with it.
+    /// Caller's data kept with the request.
     pub held: H,
 }
 
-/// One attempt: of what, where to and until when.
+/// An attempt to be started.
 pub struct Attempt {
-    /// The request.
+    /// The request that it belongs to.
     pub request: RequestId,
-    /// Counted from 0.
+    /// Number within the request, from 0.
     pub number: u32,
-    /// Where it goes; nothing may be written once it is no longer open.
+    /// Destination; nothing may be written once it is no longer open.
     pub endpoint: Rc<Endpoint>,
-    /// Cleared once the request has its answer; nothing may be written from then on.
+    /// Cleared when the request is answered; nothing may be written afterwards.
     pub wanted: Rc<Cell<bool>>,
-    /// When it is given up.
+    /// Timeout of the attempt, as a point in time.
     pub until: Time,
-    /// When the client's answer has to be on its way whole, unless it is a long one. It moves when a long request has
-    /// gone out and when the process ends.
+    /// When a short answer has to be sent completely. It changes when a long request has been forwarded completely and
+    /// when the process shuts down.
     pub answer_by: Rc<Cell<Time>>,
-    /// Nothing of it may be written from then on, if it may be a repeat.
+    /// If it may be a duplicate, nothing of it may be written from this time on.
     pub before: Option<Time>,
 }
 
-/// A request that lacks its answer or has attempts out.
+/// A request that is unanswered or has attempts in flight.
 struct PendingRequest<H> {
-    /// Whether it lacks its answer.
+    /// Whether it is still unanswered.
     open: bool,
-    /// The same, for attempts on their way.
+    /// Same as `open`, shared with attempts in flight.
     wanted: Rc<Cell<bool>>,
     held: H,
     effect: Effect,
     deadline: Time,
-    /// The deadline less [`LAST_RESORT`], for attempts on their way.
+    /// The deadline minus [`ANSWER_MARGIN`], shared with attempts in flight.
     answer_by: Rc<Cell<Time>>,
     /// See [`Arrival::upload`].
     upload: Option<Time>,
-    /// When the last byte of a long one came from its client, if it has.
+    /// When the last byte of a long request was received from its client, if it was.
     received: Option<Time>,
-    /// A long one is on its way to a backend.
+    /// A long request is being forwarded to a backend.
     uploading: bool,
     attempts: Attempts,
-    out: u32,
+    /// Attempts in flight.
+    in_flight: u32,
 }
 
+/// What a timer does when it fires.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKind {
     Module(u64),
-    LastResort(RequestId),
+    Deadline(RequestId),
     Reopening(BackendId),
 }
 
 impl<H> PendingRequest<H> {
-    /// Sets when its client gives up, and returns when the last resort answers.
+    /// Sets the client's deadline and returns when the request is answered for lack of another answer.
     fn set_deadline(&mut self, deadline: Time) -> Time {
-        let last = deadline.saturating_sub(LAST_RESORT);
+        let last = deadline.saturating_sub(ANSWER_MARGIN);
         self.deadline = deadline;
         self.answer_by.set(last);
         last
     }
 }
 
-/// Runs a module on what comes in. Its maps are bounded by the requests that whoever feeds it lets in.
+/// Drives a module with incoming events. The size of its maps is bounded by the number of requests that the caller admits.
 pub struct Core<D, O: Effects> {
     decider: D,
-    /// Does what is to be done.
+    /// Performs the effects.
     pub effects: O,
     names: Names,
     starts: Starts,
     closings: Closings,
     endpoints: FxHashMap<BackendId, Rc<Endpoint>>,
-    /// Endpoints numbered so far.
-    numbered: u64,
+    /// Number of the newest endpoint.
+    last_endpoint_number: u64,
     pending: FxHashMap<RequestId, PendingRequest<O::Held>>,
-    due: BinaryHeap<Reverse<(Time, Due)>>,
+    timers: BinaryHeap<Reverse<(Time, TimerKind)>>,
     actions: Vec<Action>,
-    /// The time of the input in hand.
+    /// The time of the event that is being handled.
     now: Time,
-    /// Attempts that were never begun, to be told after the actions in hand.
-    moot: VecDeque<(RequestId, u32)>,
-    /// Uploads that have begun, to be told after the actions in hand.
-    begun: Vec<RequestId>,
-    /// Requests that may not be sent any more, to be given up after the actions in hand.
-    unsent: Vec<RequestId>,
-    /// When the last answer has to be out, once this process has been told to end.
+    /// Attempts that were not started, to be reported to the module after the current actions.
+    not_started: VecDeque<(RequestId, u32)>,
+    /// Uploads that have started, to be reported to the module after the current actions.
+    started_uploads: Vec<RequestId>,
+    /// Requests that may not be sent any more, to be answered after the current actions.
+    unsendable: Vec<RequestId>,
+    /// Deadline for all answers, once shutdown has been requested.
     end: Option<Time>,
 }
 
 impl<D: Policy, O: Effects> Core<D, O> {
-    /// A core with nothing in it yet; `unix_zero` is the Unix time in ms at which [`Time`] is zero.
+    /// Creates an empty core; `unix_zero` is the Unix time in ms at which [`Time`] is zero.
     pub fn new(decider: D, effects: O, names: Names, unix_zero: Millis) -> Self {
         Core {
             decider,
@@ -233,95 +236,95 @@
             starts: Starts::new(unix_zero),
             closings: Closings::default(),
             endpoints: FxHashMap::default(),
-            numbered: 0,
+            last_endpoint_number: 0,
             pending: FxHashMap::default(),
-            due: BinaryHeap::new(),
+            timers: BinaryHeap::new(),
             actions: Vec::new(),
             now: Time::ZERO,
-            moot: VecDeque::new(),
-            begun: Vec::new(),
-            unsent: Vec::new(),
+            not_started: VecDeque::new(),
+            started_uploads: Vec::new(),
+            unsendable: Vec::new(),
             end: None,
         }
     }
 
-    /// Requests that lack their answer or have attempts out.
+    /// Number of requests that are unanswered or have attempts in flight.
     pub fn held(&self) -> usize {
         self.pending.len()
     }
 
-    /// What is kept with a request, if it is held.
+    /// The caller's data of a request that is still held.
     pub fn context(&self, request: RequestId) -> Option<&O::Held> {
-        self.pending.get(&request).map(|live| &live.held)
+        self.pending.get(&request).map(|pending| &pending.held)
     }
 
-    /// Who decides.
+    /// The decision module.
     pub fn decider(&self) -> &D {
         &self.decider
     }
 
-    /// Where a backend's process listens, if it is on the list.
+    /// Address of a backend that is on the list.
     pub fn address(&self, backend: BackendId) -> Option<std::net::SocketAddr> {
         self.endpoints.get(&backend).map(|e| e.address)
     }
 
-    /// Attempts at a backend that have not come to their end.
+    /// Attempts in flight at a backend.
     pub fn held_at(&self, backend: BackendId) -> u32 {
         self.endpoints.get(&backend).map_or(0, |e| e.held())
     }
 
-    /// Attempts at a backend that were served or failed, and those that failed.
+    /// Ended attempts at a backend, served or failed, and how many of them failed.
     pub fn ended_at(&self, backend: BackendId) -> (u64, u64) {
         self.endpoints.get(&backend).map_or((0, 0), |e| e.ended())
     }
 
-    /// The same at all that are on the list.
+    /// Sum of [`Core::ended_at`] over all listed backends.
     pub fn ended_at_all(&self) -> (u64, u64) {
-        let both = |(a, f): (u64, u64), (all, failed): (u64, u64)| (a + all, f + failed);
-        self.endpoints.values().map(|e| e.ended()).fold((0, 0), both)
+        let add = |(a, f): (u64, u64), (ended, failed): (u64, u64)| (a + ended, f + failed);
+        self.endpoints.values().map(|e| e.ended()).fold((0, 0), add)
     }
 
-    /// Attempts at all that are on the list that have not come to their end.
+    /// Attempts in flight at all listed backends.
     pub fn held_at_all(&self) -> u32 {
         self.endpoints.values().map(|e| e.held()).sum()
     }
 
-    /// When something is due next. Last resorts of requests that have their answer by now are dropped here:
-    /// nearly all do, and each would wake the process for nothing.
+    /// When the next timer fires. Deadline timers of answered requests are dropped here: nearly all requests are
+    /// answered by then, and each timer would wake the process for nothing.
     pub fn next_due(&mut self) -> Option<Time> {
         loop {
-            let Reverse((at, due)) = self.due.peek()?;
+            let Reverse((at, due)) = self.timers.peek()?;
             match due {
-                Due::LastResort(id) if self.pending.get(id).is_none_or(|l| !l.open) => {
-                    self.due.pop();
+                TimerKind::Deadline(id) if self.pending.get(id).is_none_or(|l| !l.open) => {
+                    self.timers.pop();
                 }
                 _ => return Some(*at),
             }
         }
     }
 
-    /// Does what is due by now.
+    /// Runs all timers that are due.
     pub fn fire(&mut self, now: Time) {
-        while self.due.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-            let Some(Reverse((_, due))) = self.due.pop() else { break };
+        while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
+            let Some(Reverse((_, due))) = self.timers.pop() else { break };
             match due {
-                Due::Module(token) => self.handle(now, Event::Timer(token)),
-                Due::LastResort(id) => self.on_deadline(now, id),
-                Due::Reopening(id) => self.reopen(now, id),
+                TimerKind::Module(token) => self.handle(now, Event::Timer(token)),
+                TimerKind::Deadline(id) => self.on_deadline(now, id),
+                TimerKind::Reopening(id) => self.reopen(now, id),
             }
         }
     }
 
-    /// A whole request has come in.
+    /// A request has arrived: complete, or a long one that is still being received ([`Arrival::upload`]).
     pub fn request(&mut self, now: Time, arrival: Arrival<O::Held>) {
         let Arrival { id, class, effect, tenant, key, hint, deadline, upload, held } = arrival;
         let deadline = self.within_end(deadline);
-        let last = deadline.saturating_sub(LAST_RESORT);
-        let budget = ms(last.saturating_sub(now));
+        let last = deadline.saturating_sub(ANSWER_MARGIN);
+        let budget = to_ms(last.saturating_sub(now));
         let wanted = Rc::new(Cell::new(true));
         let answer_by = Rc::new(Cell::new(last));
-        let (received, uploading, attempts, out) = (None, false, Attempts::default(), 0);
-        let live = PendingRequest {
+        let (received, uploading, attempts, in_flight) = (None, false, Attempts::default(), 0);
+        let pending = PendingRequest {
             open: true,
             wanted,
             held,
@@ -332,28 +335,28 @@
             received,
             uploading,
             attempts,
-            out,
+            in_flight,
         };
-        self.pending.insert(id, live);
-        self.due.push(Reverse((last, Due::LastResort(id))));
+        self.pending.insert(id, pending);
+        self.timers.push(Reverse((last, TimerKind::Deadline(id))));
         self.handle(now, Event::Request { id, class, tenant, key, budget, hint });
     }
 
-    /// This process ends: whatever it has taken has its answer by then, however long its client would wait.
+    /// Starts a graceful shutdown: every accepted request is answered by `end`, even if its client would wait longer.
     pub fn end_by(&mut self, end: Time) {
         let end = self.within_end(end);
         self.end = Some(end);
-        let last = end.saturating_sub(LAST_RESORT);
-        // Those with an answer that has begun keep an attempt, and a short one of these has to end in time, too.
-        for (id, live) in self.pending.iter_mut().filter(|(_, l)| l.deadline > end) {
-            live.set_deadline(live.deadline.min(end));
-            if live.open {
-                self.due.push(Reverse((last, Due::LastResort(*id))));
+        let last = end.saturating_sub(ANSWER_MARGIN);
+        // Requests whose answer has started still have an attempt in flight; a short answer has to end in time, too.
+        for (id, pending) in self.pending.iter_mut().filter(|(_, l)| l.deadline > end) {
+            pending.set_deadline(pending.deadline.min(end));
+            if pending.open {
+                self.timers.push(Reverse((last, TimerKind::Deadline(*id))));
             }
         }
     }
 
-    /// A deadline, or the end of this process if that comes before.
+    /// A deadline, limited to the end of the process.
     fn within_end(&self, deadline: Time) -> Time {
         self.end.map_or(deadline, |end| deadline.min(end))
     }
@@ -365,73 +368,74 @@
         }
     }
 
-    /// The last byte of a long request came from its client at `at`: its client's time runs from there, wherever the
-    /// request stands.
+    /// The last byte of a long request was received from its client at `at`. The client's time counts from then, whether
+    /// the request is queued or being forwarded.
     pub fn received(&mut self, id: RequestId, at: Time) {
-        let Some(live) = self.pending.get_mut(&id) else { return };
-        live.received = Some(at);
-        if live.open && live.uploading {
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        pending.received = Some(at);
+        if pending.open && pending.uploading {
             self.renew_deadline(at, id);
         }
     }
 
-    /// Sets a long request's deadline by what is known of its last byte, and returns when the last resort answers.
+    /// Sets a long request's deadline from the time of its last byte, or from `now` if that has not come. Returns when the
+    /// request is answered for lack of another answer.
     fn renew_deadline(&mut self, now: Time, id: RequestId) -> Option<Time> {
-        let live = self.pending.get(&id)?;
-        let deadline = self.within_end(live.received.unwrap_or(now) + live.upload?);
+        let pending = self.pending.get(&id)?;
+        let deadline = self.within_end(pending.received.unwrap_or(now) + pending.upload?);
         let last = self.pending.get_mut(&id)?.set_deadline(deadline);
-        self.due.push(Reverse((last, Due::LastResort(id))));
+        self.timers.push(Reverse((last, TimerKind::Deadline(id))));
         Some(last)
     }
 
-    /// A request has gone out whole.
+    /// A long request has been forwarded completely.
     pub fn uploaded(&mut self, now: Time, id: RequestId) {
         if self.pending.get(&id).is_some_and(|l| l.uploading) {
             self.end_upload(now, id, false);
         }
     }
 
-    /// No more of a request goes out; `spent` where it can't go out again.
+    /// Forwarding of a long request has ended; `spent` if the request can't be sent again.
     fn end_upload(&mut self, now: Time, id: RequestId, spent: bool) {
         let Some(last) = self.renew_deadline(now, id) else { return };
-        if let Some(live) = self.pending.get_mut(&id) {
-            live.uploading = false;
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.uploading = false;
         }
-        let budget = if spent { 0.0 } else { ms(last.saturating_sub(now)) };
+        let budget = if spent { 0.0 } else { to_ms(last.saturating_sub(now)) };
         self.handle(now, Event::Uploaded { request: id, budget });
     }
 
-    /// A long answer has begun, and goes on as it comes. Its end is told with [`Core::ended`].
+    /// A long answer has started and is forwarded as it arrives. Its end is reported with [`Core::ended`].
     pub fn started(&mut self, now: Time, request: RequestId, attempt: u32, reply: O::Reply) {
         if self.pending.get(&request).is_some_and(|l| l.uploading) {
-            self.end_upload(now, request, false); // answered before it had gone out whole
+            self.end_upload(now, request, false); // the backend answered before the whole request was forwarded
         }
         if self.answer(now, request, Answer::Served(reply), Cause::Backend) {
             self.handle(now, Event::Started { request, attempt });
         }
     }
 
-    /// An attempt has ended: one that [`Effects::attempt`] began, once.
+    /// An attempt started by [`Effects::attempt`] has ended; called exactly once for each.
     pub fn ended(
         &mut self, now: Time, request: RequestId, attempt: u32, latency: Millis, outcome: Outcome,
         reply: Option<O::Reply>,
     ) {
-        let Some(live) = self.pending.get(&request) else { return };
-        if live.open && live.upload.is_some() {
-            let spent = outcome != Outcome::Served && self.effects.is_spent(&live.held);
-            if live.uploading || spent {
+        let Some(pending) = self.pending.get(&request) else { return };
+        if pending.open && pending.upload.is_some() {
+            let spent = outcome != Outcome::Served && self.effects.is_spent(&pending.held);
+            if pending.uploading || spent {
                 self.end_upload(now, request, spent);
             }
         }
-        let Some(live) = self.pending.get_mut(&request) else { return };
-        live.out -= 1;
-        live.attempts.end(attempt, outcome.may_have_run());
-        let was_open = live.open;
+        let Some(pending) = self.pending.get_mut(&request) else { return };
+        pending.in_flight -= 1;
+        pending.attempts.end(attempt, outcome.may_have_run());
+        let was_open = pending.open;
         if let (Outcome::Served, Some(reply)) = (outcome, reply) {
             self.answer(now, request, Answer::Served(reply), Cause::Backend);
         }
         let closed = !was_open || outcome == Outcome::Served;
-        self.forget(request);
+        self.remove_if_done(request);
         self.handle(now, Event::Ended { request, attempt, latency, outcome, closed });
     }
 
@@ -440,127 +444,128 @@
         self.handle(now, Event::Settings(Box::new(change)));
     }
 
-    /// Another proxy's message.
+    /// A message from another proxy has arrived.
     pub fn message(&mut self, now: Time, from: u32, bytes: Vec<u8>) {
         self.handle(now, Event::Message { from, bytes });
     }
 
-    /// Discovery has shown that it has nothing new to tell.
+    /// Discovery has confirmed that there is no change.
     pub fn discovery_alive(&mut self, now: Time) {
-        self.starts.told_all(now);
+        self.starts.record_complete(now);
     }
 
-    /// News of the list, newer than all before.
+    /// A list, or changes to it, that is certainly newer than what is known.
     pub fn list(&mut self, now: Time, scope: Scope, hosts: Vec<Host>) {
         for host in &hosts {
             let id = BackendId(number_of(&host.host));
             match host.state() {
-                State::Up => self.closings.opened(id),
-                State::Draining | State::Gone => self.note_closing(now, id, host.born_ms),
+                State::Up => self.closings.record_opening(id),
+                State::Draining | State::Gone => self.record_closing(now, id, host.born_ms),
             }
         }
-        self.take_list(now, scope, hosts);
+        self.apply_list(now, scope, hosts);
     }
 
-    /// News of the list that may be older than what is known: backends that it closes are closed at once, those that were
-    /// closed of late are opened by it only once nobody can be behind any more, see [`crate::REOPEN_AFTER`].
+    /// A list, or changes to it, that may be older than what is known. Backends that it closes are closed at once; recently
+    /// closed backends are reopened only when no discovery service can lag behind any more, see [`crate::REOPEN_AFTER`].
     pub fn uncertain_list(&mut self, now: Time, scope: Scope, hosts: Vec<Host>) {
-        let hosts = hosts.into_iter().map(|host| self.hold_back(now, host)).collect();
-        self.take_list(now, scope, hosts);
+        let hosts = hosts.into_iter().map(|host| self.defer_opening(now, host)).collect();
+        self.apply_list(now, scope, hosts);
     }
 
-    /// A backend drains or is gone, by a line that may leave out when it started.
-    fn note_closing(&mut self, now: Time, id: BackendId, born_ms: f64) {
+    /// Records that a backend drains or is gone; the list entry may lack its start time.
+    fn record_closing(&mut self, now: Time, id: BackendId, born_ms: f64) {
         let known = self.endpoints.get(&id).map_or(0.0, |endpoint| endpoint.born_ms);
-        self.closings.closed(now, id, born_ms.max(known));
+        self.closings.record_closing(now, id, born_ms.max(known));
     }
 
-    /// A line of an uncertain list as far as it counts now.
-    fn hold_back(&mut self, now: Time, mut host: Host) -> Host {
+    /// Adjusts an entry of an uncertain list to what may take effect now.
+    fn defer_opening(&mut self, now: Time, mut host: Host) -> Host {
         let id = BackendId(number_of(&host.host));
         if host.state() != State::Up {
-            self.note_closing(now, id, host.born_ms);
+            self.record_closing(now, id, host.born_ms);
             return host;
         }
-        // Of a process before the one that is known.
+        // The entry describes an older process than the known one.
         if let Some(known) = self.endpoints.get(&id).filter(|known| known.born_ms > host.born_ms) {
             (host.dial, host.born_ms) = (Some(known.address), known.born_ms);
             host.health = if known.is_open() { UP } else { DRAINING }.into();
             return host;
         }
-        if let Some(counts_at) = self.closings.hold_back(now, id, &host) {
-            self.due.push(Reverse((counts_at, Due::Reopening(id))));
+        if let Some(effective_at) = self.closings.defer_opening(now, id, &host) {
+            self.timers.push(Reverse((effective_at, TimerKind::Reopening(id))));
             host.health = DRAINING.into();
         }
         host
     }
 
-    /// What an uncertain list said of a backend that was closed then counts now, unless there is other news of it.
+    /// Applies the deferred reopening of a backend, unless a newer update has replaced it.
     fn reopen(&mut self, now: Time, id: BackendId) {
-        if let Some(host) = self.closings.due(now, id) {
-            self.take_list(now, Scope::Delta, vec![host]);
+        if let Some(host) = self.closings.take_due(now, id) {
+            self.apply_list(now, Scope::Delta, vec![host]);
         }
     }
 
-    fn take_list(&mut self, now: Time, scope: Scope, hosts: Vec<Host>) {
+    fn apply_list(&mut self, now: Time, scope: Scope, hosts: Vec<Host>) {
         let whole = matches!(scope, Scope::Full | Scope::Cached);
-        let entries: Vec<Backend> = hosts.into_iter().map(|host| self.backend(now, host)).collect();
+        let entries: Vec<Backend> = hosts.into_iter().map(|host| self.update_backend(now, host)).collect();
         if whole {
             let listed: FxHashSet<BackendId> = entries.iter().map(|e| e.id).collect();
             let (effects, closings) = (&mut self.effects, &mut self.closings);
-            // Attempts that are out keep what they need of a backend that has left.
+            // Attempts in flight hold their own reference to the endpoint of a backend that has left.
             self.endpoints.retain(|id, endpoint| {
                 let stays = listed.contains(id);
                 if !stays {
-                    shut(endpoint, effects);
-                    closings.closed(now, *id, endpoint.born_ms);
+                    close_endpoint(endpoint, effects);
+                    closings.record_closing(now, *id, endpoint.born_ms);
                 }
                 stays
             });
         }
-        self.closings.forget_old(now);
+        self.closings.remove_expired(now);
         if matches!(scope, Scope::Full | Scope::Delta) {
-            self.starts.told_all(now);
+            self.starts.record_complete(now);
         }
         if whole {
-            self.starts.forget(|id| self.endpoints.contains_key(id));
+            self.starts.prune(|id| self.endpoints.contains_key(id));
         }
         let some = !entries.is_empty();
         self.handle(now, Event::List { scope, entries });
         self.effects.listed(scope, some);
     }
 
-    /// Answers a request that nobody else has answered in time. It has failed if it may have run.
+    /// Answers a request that has no answer near its deadline: failed if it may have run, else refused.
     fn on_deadline(&mut self, now: Time, id: RequestId) {
-        let Some(live) = self.pending.get(&id) else { return };
-        let ends = self.end.is_some_and(|end| end <= now + LAST_RESORT);
-        if !ends && live.deadline > now + LAST_RESORT {
-            return; // it has moved since, and another is set
+        let Some(pending) = self.pending.get(&id) else { return };
+        let ends = self.end.is_some_and(|end| end <= now + ANSWER_MARGIN);
+        if !ends && pending.deadline > now + ANSWER_MARGIN {
+            return; // the deadline has moved, and another timer is set
         }
-        let answer = if live.attempts.count() == 0 { Answer::Refused(None) } else { Answer::Failed };
+        let answer = if pending.attempts.count() == 0 { Answer::Refused(None) } else { Answer::Failed };
         if self.answer(now, id, answer, Cause::Deadline) {
             self.handle(now, Event::Abandoned(id));
         }
     }
 
-    /// Uses the right to answer a request, if it is still there; from here on nothing more begins for it.
+    /// Marks an unanswered request as answered and answers it; no further attempts start for it.
     fn close(&mut self, id: RequestId, answer: impl FnOnce(&mut O, &mut O::Held)) -> bool {
-        let Some(live) = self.pending.get_mut(&id).filter(|l| l.open) else { return false };
-        live.open = false;
-        live.wanted.set(false);
-        answer(&mut self.effects, &mut live.held);
-        self.forget(id);
+        let Some(pending) = self.pending.get_mut(&id).filter(|l| l.open) else { return false };
+        pending.open = false;
+        pending.wanted.set(false);
+        answer(&mut self.effects, &mut pending.held);
+        self.remove_if_done(id);
         true
     }
 
-    /// Gives a request its one answer, unless it has it. What may have run is never refused, whoever wants that.
+    /// Answers a request unless it is already answered. A request that may have run and can't be repeated safely is never
+    /// refused; it fails instead.
     fn answer(&mut self, now: Time, id: RequestId, answer: Answer<O::Reply>, cause: Cause) -> bool {
-        let Some(live) = self.pending.get(&id).filter(|l| l.open) else { return false };
+        let Some(pending) = self.pending.get(&id).filter(|l| l.open) else { return false };
         let refusal = match &answer {
-            Answer::Refused(after) => live.attempts.may_refuse(live.effect, now, *after),
+            Answer::Refused(after) => pending.attempts.may_refuse(pending.effect, now, *after),
             Answer::Served(_) | Answer::Failed => Ok(()),
         };
-        if now > live.deadline.saturating_add(LATEST_ANSWER) {
+        if now > pending.deadline.saturating_add(LATEST_ANSWER) {
             self.effects.late_answer(id);
         }
         let answer = match refusal {
@@ -573,8 +578,8 @@
         self.close(id, |effects, held| effects.answer(held, id, answer, cause))
     }
 
-    /// Answers a request that may not be sent any more: refused, if nothing was ever sent.
-    fn reject_unsent(&mut self, now: Time, id: RequestId) {
+    /// Answers a request that may not be sent any more: refused if nothing was sent before, else failed.
+    fn reject_unsendable(&mut self, now: Time, id: RequestId) {
         let first = self.pending.get(&id).is_some_and(|l| l.attempts.count() <= 1);
         let answer = if first { Answer::Refused(None) } else { Answer::Failed };
         if self.answer(now, id, answer, Cause::Denied) {
@@ -582,26 +587,27 @@
         }
     }
 
-    fn forget(&mut self, id: RequestId) {
-        if self.pending.get(&id).is_some_and(|l| !l.open && l.out == 0) {
+    /// Removes a request that is answered and has no attempts in flight.
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.pending.get(&id).is_some_and(|l| !l.open && l.in_flight == 0) {
             self.pending.remove(&id);
         }
     }
 
-    /// Notes where a backend is, and whether something new may go there.
-    fn backend(&mut self, now: Time, host: Host) -> Backend {
+    /// Updates a backend's endpoint from its list entry.
+    fn update_backend(&mut self, now: Time, host: Host) -> Backend {
         let id = BackendId(number_of(&host.host));
         let state = host.state();
-        let zone = host.site.and_then(|z| Some(ZoneId(known(&mut self.names.zones, &z)?)));
+        let zone = host.site.and_then(|z| Some(ZoneId(bounded_index_of(&mut self.names.zones, &z)?)));
         let cell = host.block.map(CellId);
         if let Some(address) = host.dial {
             let same = |e: &Rc<Endpoint>| e.address == address && e.born_ms == host.born_ms;
             if !self.endpoints.get(&id).is_some_and(same) {
-                self.numbered += 1;
+                self.last_endpoint_number += 1;
                 let old = self.endpoints.get(&id).map(|e| &**e);
-                let endpoint = Endpoint::after(old, self.numbered, address, host.born_ms);
+                let endpoint = Endpoint::after(old, self.last_endpoint_number, address, host.born_ms);
                 if let Some(old) = self.endpoints.insert(id, endpoint) {
-                    shut(&old, &mut self.effects);
+                    close_endpoint(&old, &mut self.effects);
                 }
             }
         }
@@ -609,7 +615,7 @@
             endpoint.set_place(Place { zone, cell });
             match state {
                 State::Up => endpoint.set_open(true),
-                State::Draining | State::Gone => shut(endpoint, &mut self.effects),
+                State::Draining | State::Gone => close_endpoint(endpoint, &mut self.effects),
             }
         }
         if state == State::Gone {
@@ -618,29 +624,29 @@
         Backend {
             id,
             zone,
-            kind: host.class.and_then(|k| Some(KindId(known(&mut self.names.kinds, &k)?))),
+            kind: host.class.and_then(|k| Some(KindId(bounded_index_of(&mut self.names.kinds, &k)?))),
             cell,
             state,
             rating: host.share.unwrap_or(1.0),
-            since: self.starts.since(now, id, host.born_ms),
+            since: self.starts.started_at(now, id, host.born_ms),
         }
     }
 
     fn handle(&mut self, now: Time, event: Event) {
         self.now = now;
         let mut actions = std::mem::take(&mut self.actions);
-        self.decider.handle(ms(now), event, &mut actions);
+        self.decider.handle(to_ms(now), event, &mut actions);
         for action in actions.drain(..) {
             self.perform(action);
         }
         self.actions = actions;
-        while let Some(id) = self.begun.pop() {
+        while let Some(id) = self.started_uploads.pop() {
             self.handle(now, Event::Uploading(id));
         }
-        while let Some(id) = self.unsent.pop() {
-            self.reject_unsent(now, id);
+        while let Some(id) = self.unsendable.pop() {
+            self.reject_unsendable(now, id);
         }
-        while let Some((request, attempt)) = self.moot.pop_front() {
+        while let Some((request, attempt)) = self.not_started.pop_front() {
             self.ended(now, request, attempt, 0.0, Outcome::NotSent, None);
         }
     }
@@ -656,42 +662,42 @@
             Action::Fail(request) => {
                 self.answer(self.now, request, Answer::Failed, Cause::Policy);
             }
-            Action::Timer { token, at } => self.due.push(Reverse((time(at), Due::Module(token)))),
+            Action::Timer { token, at } => self.timers.push(Reverse((from_ms(at), TimerKind::Module(token)))),
             Action::Broadcast(bytes) => self.effects.broadcast(bytes),
             Action::Subscribe => self.effects.subscribe(),
             Action::FetchList => self.effects.fetch_list(),
         }
     }
 
-    /// A long request begins to go out. Its client's time runs only from its last byte: until that has come, no deadline
-    /// counts but the end of this process.
+    /// Starts forwarding a long request. The client's time counts from its last byte; until that has come, the only deadline
+    /// is the end of the process.
     fn begin_upload(&mut self, request: RequestId) {
-        let open_ended = self.within_end(OPEN_ENDED);
-        let Some(live) = self.pending.get_mut(&request) else { return };
-        if live.received.is_some() {
+        let open_ended = self.within_end(NO_DEADLINE);
+        let Some(pending) = self.pending.get_mut(&request) else { return };
+        if pending.received.is_some() {
             self.renew_deadline(self.now, request);
             return;
         }
-        let last = live.set_deadline(open_ended);
+        let last = pending.set_deadline(open_ended);
         if self.end.is_some() {
-            self.due.push(Reverse((last, Due::LastResort(request))));
+            self.timers.push(Reverse((last, TimerKind::Deadline(request))));
         }
     }
 
-    /// Whether an attempt of a request may begin at a backend now.
+    /// Checks whether an attempt of a request may start at a backend now.
     fn may_begin(
         &self, request: &PendingRequest<O::Held>, backend: BackendId,
     ) -> Result<Rc<Endpoint>, Denial> {
         let endpoint = self.endpoints.get(&backend).ok_or(Denial::EndpointClosed)?;
         let open_ended = request.upload.is_some() && request.received.is_none();
-        let deadline = if open_ended { OPEN_ENDED } else { request.deadline };
+        let deadline = if open_ended { NO_DEADLINE } else { request.deadline };
         let facts = SendFacts {
             wanted: request.open,
             endpoint_open: endpoint.is_open(),
             lease_holds: self.effects.may_send(&request.held),
             time_left: deadline.saturating_sub(self.now),
-            repeat_dropped: true,     // asked next
-            head_age: Duration::ZERO, // it is made later
+            repeat_dropped: true,     // checked below by may_repeat
+            head_age: Duration::ZERO, // the head is made later
         };
         facts.may_send()?;
         request.attempts.may_repeat(request.effect, self.now, endpoint.place())?;
@@ -701,63 +707,63 @@
     fn send(
         &mut self, request: RequestId, backend: BackendId, timeout: Option<Millis>, before: Option<Millis>,
     ) {
-        let Some(live) = self.pending.get(&request) else {
+        let Some(pending) = self.pending.get(&request) else {
             return self.effects.violation(Violation::SendOfUnknown, request);
         };
-        let (permitted, number) = (self.may_begin(live, backend), live.attempts.count());
-        let Some(live) = self.pending.get_mut(&request) else { return };
-        live.out += 1;
+        let (permitted, number) = (self.may_begin(pending, backend), pending.attempts.count());
+        let Some(pending) = self.pending.get_mut(&request) else { return };
+        pending.in_flight += 1;
         let endpoint = match permitted {
             Ok(endpoint) => endpoint,
             Err(denial) => {
-                live.attempts.skip(self.now);
+                pending.attempts.skip(self.now);
                 return self.deny(request, number, denial);
             }
         };
-        live.attempts.begin(self.now, endpoint.place());
-        if live.upload.is_some() {
-            live.uploading = true;
-            self.begun.push(request);
+        pending.attempts.begin(self.now, endpoint.place());
+        if pending.upload.is_some() {
+            pending.uploading = true;
+            self.started_uploads.push(request);
             self.begin_upload(request);
         }
-        let Some(live) = self.pending.get(&request) else { return };
-        let until = timeout.map_or(live.deadline, |t| live.deadline.min(self.now + time(t)));
-        let (wanted, answer_by) = (live.wanted.clone(), live.answer_by.clone());
-        let before = before.map(time);
+        let Some(pending) = self.pending.get(&request) else { return };
+        let until = timeout.map_or(pending.deadline, |t| pending.deadline.min(self.now + from_ms(t)));
+        let (wanted, answer_by) = (pending.wanted.clone(), pending.answer_by.clone());
+        let before = before.map(from_ms);
         let attempt = Attempt { request, number, endpoint, wanted, until, answer_by, before };
-        self.effects.attempt(&live.held, attempt);
+        self.effects.attempt(&pending.held, attempt);
     }
 
-    /// An attempt that the module wanted does not begin.
+    /// Denies an attempt that the module requested.
     fn deny(&mut self, request: RequestId, number: u32, denial: Denial) {
         self.effects.denied(request, number, denial);
         if let Some(violation) = Violation::of(denial) {
             self.effects.violation(violation, request);
         }
         if matches!(denial, Denial::LeaseLapsed | Denial::DeadlineOver) {
-            self.unsent.push(request); // no other attempt would fare better
+            self.unsendable.push(request); // any other attempt would be denied, too
         }
-        self.moot.push_back((request, number));
+        self.not_started.push_back((request, number));
     }
 }
 
-fn ms(time: Time) -> Millis {
+fn to_ms(time: Time) -> Millis {
     time.as_secs_f64() * 1000.0
 }
 
-fn time(at: Millis) -> Time {
+fn from_ms(at: Millis) -> Time {
     Duration::from_secs_f64(at.clamp(0.0, 1e12) / 1000.0)
 }
 
-/// Nothing new goes there any more, and nothing is kept for it.
-fn shut<O: Effects>(endpoint: &Endpoint, effects: &mut O) {
+/// Closes an endpoint to new attempts and releases what is kept for it.
+fn close_endpoint<O: Effects>(endpoint: &Endpoint, effects: &mut O) {
     endpoint.set_open(false);
     effects.retire(endpoint);
 }
 
-/// The number of a zone or kind; past `NAMES` of them, what is new has none.
-fn known(names: &mut Vec<String>, name: &str) -> Option<u32> {
-    (names.len() < NAMES || names.iter().any(|n| n == name)).then(|| index_of(names, name) as u32)
+/// The index of a zone or kind name; `None` for a new name once there are [`MAX_NAMES`].
+fn bounded_index_of(names: &mut Vec<String>, name: &str) -> Option<u32> {
+    (names.len() < MAX_NAMES || names.iter().any(|n| n == name)).then(|| index_of(names, name) as u32)
 }
 
 #[cfg(test)]
--- a/crates/sandgap-driver/src/endpoint.rs
+++ b/crates/sandgap-driver/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Where requests go: a line of the list of backends, and one process of a backend.
+//! Destinations of requests: an entry of the list of backends, and one process of a backend.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -8,36 +8,36 @@
 
 use crate::permit::Place;
 
-/// One line of the list of backends.
+/// One entry of the list of backends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Its name, the same at every proxy.
+    /// Host name, the same at every proxy.
     pub host: String,
-    /// Where it is reached; `None` if that can't be read.
+    /// Address to connect to; `None` if it can't be parsed.
     pub dial: Option<SocketAddr>,
-    /// Its zone.
+    /// Zone.
     pub site: Option<String>,
-    /// Its kind of machine.
+    /// Kind of machine.
     pub class: Option<String>,
-    /// Its cell.
+    /// Cell.
     pub block: Option<u64>,
     /// `up`, `draining` or `removed`.
     pub health: String,
-    /// Its rating.
+    /// Rating.
     pub share: Option<f64>,
-    /// Unix time of its start in milliseconds; 0 for long ago.
+    /// Unix time of the process start in milliseconds; 0 for long ago.
     pub born_ms: f64,
 }
 
-/// Health of a backend that takes work.
+/// Health of a backend that accepts requests.
 pub(crate) const UP: &str = "up";
-/// Health of one that finishes what it has.
+/// Health of a backend that only finishes requests in flight.
 pub(crate) const DRAINING: &str = "draining";
-/// Health of one that has left.
+/// Health of a backend that has left.
 const REMOVED: &str = "removed";
 
 impl Host {
-    /// Whether it takes work; where that can't be read it takes none.
+    /// The state that the entry describes; a backend with an unknown health or address gets no requests.
     pub(crate) fn state(&self) -> State {
         match self.health.as_str() {
             UP if self.dial.is_some() => State::Up,
@@ -47,36 +47,36 @@
     }
 }
 
-/// One process of a backend at one address. A restart or a new address makes a new one.
+/// One process of a backend at one address. A restart or a change of address creates a new endpoint.
 pub struct Endpoint {
-    /// Never used twice in a process: what backs keep for an endpoint they file under it.
+    /// Unique within this proxy process, never reused; the key of resources kept for the endpoint, such as connections.
     pub number: u64,
-    /// Where it listens.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// When it started, see [`Host::born_ms`].
+    /// Start time of the process, see [`Host::born_ms`].
     pub born_ms: f64,
     open: Cell<bool>,
     place: Cell<Place>,
     counts: Rc<Counts>,
 }
 
-/// Attempts at a backend, whichever of its processes they went to.
+/// Attempts at a backend, shared by all its processes.
 #[derive(Default)]
 struct Counts {
-    /// Those that have not come to their end.
+    /// Attempts in flight.
     held: Cell<u32>,
-    /// Those that were served or failed.
+    /// Attempts that were served or failed, and how many of them failed.
     ended: Cell<(u64, u64)>,
 }
 
-/// Counts an attempt until it is dropped.
+/// Guard that counts an attempt as in flight until it is dropped.
 pub struct Holding(Rc<Counts>);
 
 impl Holding {
-    /// It was served, or has failed.
+    /// Counts the attempt as served (`well`) or failed.
     pub fn ended(&self, well: bool) {
-        let (all, failed) = self.0.ended.get();
-        self.0.ended.set((all + 1, failed + u64::from(!well)));
+        let (ended, failed) = self.0.ended.get();
+        self.0.ended.set((ended + 1, failed + u64::from(!well)));
     }
 }
 
@@ -87,50 +87,50 @@
 }
 
 impl Endpoint {
-    /// An endpoint that takes work.
+    /// Creates an endpoint that accepts requests.
     pub fn new(number: u64, address: SocketAddr, born_ms: f64) -> Rc<Self> {
         Endpoint::after(None, number, address, born_ms)
     }
 
-    /// One that takes the place of another of the same backend.
+    /// Creates an endpoint that replaces `old` of the same backend and continues its counts.
     pub fn after(old: Option<&Self>, number: u64, address: SocketAddr, born_ms: f64) -> Rc<Self> {
         let counts = old.map(|o| o.counts.clone()).unwrap_or_default();
         let (open, place) = (Cell::new(true), Cell::default());
         Rc::new(Endpoint { number, address, born_ms, open, place, counts })
     }
 
-    /// Counts an attempt that begins.
+    /// Counts a new attempt.
     pub fn hold(&self) -> Holding {
         self.counts.held.set(self.counts.held.get() + 1);
         Holding(self.counts.clone())
     }
 
-    /// Attempts at this backend that have not come to their end.
+    /// Attempts in flight at this backend.
     pub fn held(&self) -> u32 {
         self.counts.held.get()
     }
 
-    /// Attempts that were served or failed, and those of them that failed.
+    /// Attempts that were served or failed, and how many of them failed.
     pub fn ended(&self) -> (u64, u64) {
         self.counts.ended.get()
     }
 
-    /// Where it stands among those that drop each other's repeats.
+    /// Its place, which decides where duplicates are dropped.
     pub fn place(&self) -> Place {
         self.place.get()
     }
 
-    /// Notes where it stands.
+    /// Sets its place.
     pub fn set_place(&self, place: Place) {
         self.place.set(place);
     }
 
-    /// Whether something new may go there: it neither drains, nor is it gone or replaced.
+    /// Whether new attempts may go there: it is not draining, gone or replaced.
     pub fn is_open(&self) -> bool {
         self.open.get()
     }
 
-    /// Opens or closes it; whoever keeps something for it is told apart, see [`crate::Effects::retire`].
+    /// Opens or closes it. Owners of resources for it are notified separately, see [`crate::Effects::retire`].
     pub fn set_open(&self, open: bool) {
         self.open.set(open);
     }
--- a/crates/sandgap-driver/src/lib.rs
+++ b/crates/sandgap-driver/src/lib.rs
@@ -1,7 +1,7 @@
-//! What stands between the decision module and the world: it owns the module, gives each request its one answer,
-//! keeps the last resort, and knows which process of which backend may get something new. No clock, no socket, no
-//! channel: time and inputs go in, and what is to be done comes out through [`Effects`]. The daemon carries that
-//! out on sockets, the laboratory in virtual time, so that both run the same code.
+//! Sans-IO driver between the decision module and its environment. It owns the module, gives each request exactly one
+//! answer, answers at the deadline if nothing else has, and tracks which process of each backend accepts new attempts.
+//! It has no clock, socket or channel: callers pass in time and inputs, and effects come out through [`Effects`]. The
+//! daemon performs them on sockets, the simulator in virtual time, so that both run the same code.
 
 mod closings;
 mod core;
--- a/crates/sandgap-driver/src/list_order.rs
+++ b/crates/sandgap-driver/src/list_order.rs
@@ -1,83 +1,83 @@
-//! Which of two lists of backends is the newer one.
+//! Decides which of two lists of backends is newer.
 //!
-//! Versions order the lists of one service for as long as it keeps its state. A service that has lost it counts anew, and
-//! one at another address may know less for a moment than the one before it. What orders two lists then is the calls that
-//! they came on: what a call tells that began after a list had come is no older than that list, unless the service itself
-//! lags. As that can't be excluded, such a list is *uncertain*: what it closes counts at once, what it opens again has to
-//! wait, see [`crate::Core::uncertain_list`].
+//! Versions order the lists of one discovery service as long as it keeps its state. A service that lost its state restarts
+//! its versions, and one at another address may lag behind the previous one. In these cases the calls order the lists: a
+//! call that began after a list had arrived returns nothing older than that list, unless the service itself lags. As that
+//! can't be ruled out, such a list is *uncertain*: closings in it take effect at once, reopenings have to wait, see
+//! [`crate::Core::uncertain_list`].
 
 use crate::core::Time;
 
-/// One list as it has come.
+/// A received list.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrived {
     /// Its version.
     pub version: u64,
-    /// All backends, or those that have changed.
+    /// True if it holds all backends, false if only those that have changed.
     pub whole: bool,
     /// It names no backend.
     pub empty: bool,
-    /// Something before it on its watch could not be read.
+    /// An earlier message on the same watch could not be read.
     pub behind_gap: bool,
-    /// When the call began on which it came.
+    /// When the call that returned it began.
     pub call_began: Time,
 }
 
-/// What is to be done with a list.
+/// How a list relates to what is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It follows what is known.
+    /// It is newer.
     Newer,
-    /// It says nothing new.
+    /// It contains nothing new.
     Repeated,
-    /// It may be older than what is known.
+    /// It may be older.
     Uncertain {
-        /// It can't be told from a repeated old one: the whole list has to be asked for with a new call.
+        /// It can't be distinguished from a repeated old one: the whole list has to be fetched with a new call.
         ask_again: bool,
     },
-    /// Changes to a list that is not known.
+    /// It holds changes to a list that is not known.
     Baseless,
 }
 
-/// The order of the lists of one address.
+/// Order of the lists from one address.
 #[derive(Debug)]
 pub struct ListOrder {
-    /// Version of the list from which a watch resumes.
+    /// Version from which a watch resumes.
     held: Option<u64>,
-    /// The highest version that has been heard, behind gaps too.
-    heard: u64,
-    /// When a list was last believed.
-    believed_at: Time,
-    /// Another address has told lists before.
-    follows_another: bool,
+    /// Version of the last accepted list, also if it came after a gap.
+    last_version: u64,
+    /// When a list was last accepted.
+    accepted_at: Time,
+    /// Another address has delivered lists before.
+    follows_other_address: bool,
 }
 
 impl ListOrder {
-    /// Nothing has come from this address yet.
-    pub fn new(follows_another: bool) -> Self {
-        ListOrder { held: None, heard: 0, believed_at: Time::ZERO, follows_another }
+    /// State before the first list of an address; `follows_other_address` if another address has delivered lists before.
+    pub fn new(follows_other_address: bool) -> Self {
+        ListOrder { held: None, last_version: 0, accepted_at: Time::ZERO, follows_other_address }
     }
 
-    /// Version of the list from which a watch resumes.
+    /// Version from which a watch resumes.
     pub fn held(&self) -> Option<u64> {
         self.held
     }
 
-    /// Nothing is known from here any more.
+    /// Discards the version, so that the next list has to be a whole one.
     pub fn forget(&mut self) {
         self.held = None;
     }
 
-    /// Takes in a list.
+    /// Compares a received list with what is known, and records it.
     pub fn judge(&mut self, now: Time, list: Arrived) -> Verdict {
         let Some(held) = self.held else { return self.judge_first(now, list) };
-        let is_newer = list.version > self.heard || list.whole && list.version == self.heard;
+        let is_newer = list.version > self.last_version || list.whole && list.version == self.last_version;
         if is_newer {
-            self.believe(now, list);
+            self.accept(now, list);
             return Verdict::Newer;
         }
-        if list.whole && list.call_began > self.believed_at {
-            self.believe(now, list);
+        if list.whole && list.call_began > self.accepted_at {
+            self.accept(now, list);
             return Verdict::Uncertain { ask_again: false };
         }
         if list.version < held {
@@ -93,14 +93,14 @@
         if !list.whole {
             return Verdict::Baseless;
         }
-        let follows = std::mem::replace(&mut self.follows_another, true);
-        self.believe(now, list);
-        if follows { Verdict::Uncertain { ask_again: false } } else { Verdict::Newer }
+        let is_follower = std::mem::replace(&mut self.follows_other_address, true);
+        self.accept(now, list);
+        if is_follower { Verdict::Uncertain { ask_again: false } } else { Verdict::Newer }
     }
 
-    fn believe(&mut self, now: Time, list: Arrived) {
-        self.heard = list.version;
-        self.believed_at = now;
+    fn accept(&mut self, now: Time, list: Arrived) {
+        self.last_version = list.version;
+        self.accepted_at = now;
         if list.whole || !list.behind_gap {
             self.held = Some(list.version);
         }
--- a/crates/sandgap-driver/src/permit.rs
+++ b/crates/sandgap-driver/src/permit.rs
@@ -1,8 +1,7 @@
-//! The one place that says whether something may be sent, repeated, written or refused now, and why not.
+//! Central checks of whether a request may be sent, repeated, written or refused now, and why not.
 //!
-//! Whoever is about to do such a thing asks here, with the facts of that moment, and does not go on without a yes. The
-//! decision module has its own reasons and is expected to keep within these rules: where it does not, the core does not
-//! follow it, and counts a [`Violation`].
+//! Callers check here with the current facts immediately before they act. The decision module is expected to keep within
+//! these rules; the core does not perform an action of the module that breaks them, and counts a [`Violation`].
 
 use std::time::Duration;
 
@@ -11,38 +10,40 @@
 
 use crate::core::Time;
 
-/// Nothing begins for a client with less time than this left. A process may be held up for 0.15 s between a look at its
-/// clock and a write, and what begins more than 0.1 s after a client has given up is lost.
+/// No attempt starts for a client with less time than this left. A process may be delayed by 0.15 s between reading its
+/// clock and a write, and work that starts more than 0.1 s after a client has given up is lost.
 pub const LEAST_TIME_LEFT: Duration = Duration::from_millis(50);
-/// Nothing is sent by a view of backends and clients that is older than this: nothing may begin more than 0.1 s after its
-/// client has left, and a process may be held up once more before it writes.
+/// Maximum age of the view of backends and clients on which a send is based: nothing may start more than 0.1 s after its
+/// client has left, and the process may be delayed once more before it writes.
 pub const MAX_VIEW_AGE: Duration = Duration::from_millis(50);
-/// A head tells what its client had left when it was made, and may be wrong by 0.15 s: an older one is not written.
+/// Maximum age of a request head when it is written. The head states the time its client had left when it was made, which
+/// may be wrong by 0.15 s.
 pub const MAX_HEAD_AGE: Duration = Duration::from_millis(50);
-/// An answer may come up to this long after its client's time, and then only earns nothing; a later one is lost.
+/// An answer up to this long after its client's deadline has no worth but is not counted as lost; a later one is lost.
 pub const LATEST_ANSWER: Duration = Duration::from_millis(500);
 
-/// Why something may not be done now.
+/// Why an action is not allowed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Denial {
-    /// The request has its answer, or its client has left.
+    /// The request is already answered, or its client has left.
     Answered,
-    /// Its client's time is over, or nearly.
+    /// The client's deadline has passed or is too close.
     DeadlineOver,
-    /// The endpoint drains, or is gone or replaced.
+    /// The endpoint is draining, gone or replaced.
     EndpointClosed,
-    /// The lease under which it was taken has ended.
+    /// The lease under which the request was accepted has ended.
     LeaseLapsed,
-    /// An earlier attempt may have run, and another must not.
+    /// An earlier attempt may have run, and the request must not run twice.
     MayHaveRun,
-    /// An earlier attempt may have run, and nobody there drops the repeat any more.
+    /// An earlier attempt may have run, and the duplicate would not be dropped at this place and time.
     RepeatNotDropped,
-    /// The process stood still since the request's head was made, which tells more time than its client has left.
+    /// After a standstill of the process since the request's head was made, the head states more time than the client has
+    /// left.
     HeadOutdated,
 }
 
 impl Denial {
-    /// A word for logs and counters.
+    /// Name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Denial::Answered => "answered",
@@ -56,25 +57,25 @@
     }
 }
 
-/// The module wanted something that may not be. Each is a defect of this program.
+/// A rule that an action of the module would have broken. Each occurrence is a bug in this program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Violation {
     /// A send for a request that is not held.
     SendOfUnknown,
-    /// A send for a request that has its answer.
+    /// A send for a request that is already answered.
     SendAfterAnswer,
     /// A send to an endpoint that is not open.
     SendToClosedEndpoint,
-    /// A repeat of what may have run and must not run twice.
+    /// A repeat of a request that may have run and must not run twice.
     RepeatOfUnsafe,
-    /// A repeat of what may have run, where nobody drops it.
+    /// A repeat of a request that may have run, where the duplicate would not be dropped.
     RepeatNotDropped,
-    /// A refusal of what may have run.
+    /// A refusal of a request that may have run.
     RefusalAfterRun,
 }
 
 impl Violation {
-    /// A word for logs and counters.
+    /// Name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Violation::SendOfUnknown => "send_of_unknown",
@@ -86,7 +87,7 @@
         }
     }
 
-    /// What a module that keeps within the rules never runs into; `None` for what may happen to it at any moment.
+    /// The violation behind a denial; `None` for denials that can also happen to a correct module at any time.
     pub fn of(denial: Denial) -> Option<Self> {
         match denial {
             Denial::Answered => Some(Violation::SendAfterAnswer),
@@ -98,17 +99,17 @@
     }
 }
 
-/// Where an endpoint stands among those that drop each other's repeats.
+/// Zone and cell of an endpoint, which decide where duplicates are dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Place {
-    /// Its zone, if that is told.
+    /// Zone, if known.
     pub zone: Option<ZoneId>,
-    /// Its cell, if that is told.
+    /// Cell, if known.
     pub cell: Option<CellId>,
 }
 
 impl Place {
-    /// Whether what ran at `first` is dropped here when it comes again.
+    /// Whether a duplicate of a request that ran at `first` is dropped here.
     fn drops_repeats_of(self, first: Place, group: Group) -> bool {
         match group {
             Group::All => true,
@@ -118,69 +119,69 @@
     }
 }
 
-/// One attempt of a request, as far as it decides on further ones.
+/// The facts of an attempt that matter for further attempts.
 #[derive(Clone, Copy, Debug)]
-struct Attempted {
+struct AttemptRecord {
     sent: Time,
     place: Place,
-    /// It is out, or has ended so that it may have had its effect.
+    /// It is in flight, or has ended in a way that may have had an effect.
     may_have_run: bool,
 }
 
-/// The attempts of a request; bounded by the settings' attempts for one.
+/// The attempts of a request; their number is bounded by the settings.
 #[derive(Clone, Debug, Default)]
-pub struct Attempts(SmallVec<[Attempted; 1]>);
+pub struct Attempts(SmallVec<[AttemptRecord; 1]>);
 
 impl Attempts {
-    /// An attempt goes out: until its end is known it may run.
+    /// Records a sent attempt: until its end is known it may have run.
     pub fn begin(&mut self, now: Time, place: Place) {
-        self.0.push(Attempted { sent: now, place, may_have_run: true });
+        self.0.push(AttemptRecord { sent: now, place, may_have_run: true });
     }
 
-    /// How many there were, those that were never begun included.
+    /// Number of attempts, including those that were not started.
     pub fn count(&self) -> u32 {
         self.0.len() as u32
     }
 
-    /// An attempt that was never begun.
+    /// Records an attempt that was not started.
     pub fn skip(&mut self, now: Time) {
-        self.0.push(Attempted { sent: now, place: Place::default(), may_have_run: false });
+        self.0.push(AttemptRecord { sent: now, place: Place::default(), may_have_run: false });
     }
 
-    /// An attempt, counted from 0, has ended.
+    /// Records the end of attempt `number`, counted from 0.
     pub fn end(&mut self, number: u32, may_have_run: bool) {
         if let Some(attempt) = self.0.get_mut(number as usize) {
             attempt.may_have_run = may_have_run;
         }
     }
 
-    /// Whether another attempt may go to `place` now.
+    /// Checks whether another attempt may go to `place` now.
     ///
     /// # Errors
-    /// Why it may not.
+    /// The reason if it may not.
     pub fn may_repeat(&self, effect: Effect, now: Time, place: Place) -> Result<(), Denial> {
         let Some(first) = self.0.iter().find(|a| a.may_have_run) else { return Ok(()) };
         match effect {
             Effect::Safe => Ok(()),
             Effect::Unsafe => Err(Denial::MayHaveRun),
             Effect::Keyed { group, window } => {
-                let remembered = now < first.sent + span(window);
-                let dropped = remembered && place.drops_repeats_of(first.place, group);
+                let within_window = now < first.sent + to_duration(window);
+                let dropped = within_window && place.drops_repeats_of(first.place, group);
                 if dropped { Ok(()) } else { Err(Denial::RepeatNotDropped) }
             }
         }
     }
 
-    /// Whether the client may be told now that asking again does no harm, after so many ms if that is said.
+    /// Checks whether the client may be told now that a retry is safe, after `retry_after` ms if given.
     ///
     /// # Errors
-    /// Why it may not.
+    /// The reason if it may not.
     pub fn may_refuse(&self, effect: Effect, now: Time, retry_after: Option<Millis>) -> Result<(), Denial> {
         let Some(first) = self.0.iter().find(|a| a.may_have_run) else { return Ok(()) };
         match effect {
             Effect::Safe => Ok(()),
             Effect::Keyed { group: Group::All, window }
-                if now + span(retry_after.unwrap_or(0.0)) < first.sent + span(window) =>
+                if now + to_duration(retry_after.unwrap_or(0.0)) < first.sent + to_duration(window) =>
             {
                 Ok(())
             }
@@ -189,32 +190,32 @@
     }
 }
 
-fn span(ms: Millis) -> Duration {
+fn to_duration(ms: Millis) -> Duration {
     Duration::from_secs_f64(ms.clamp(0.0, 1e12) / 1000.0)
 }
 
-/// The facts that decide whether an attempt may begin, or its first byte be written: each may change at any moment.
+/// Facts that decide whether an attempt may start or its first byte be written; each may change at any time.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts {
-    /// The request lacks its answer and its client is there.
+    /// The request is unanswered and its client is connected.
     pub wanted: bool,
-    /// The endpoint takes work.
+    /// The endpoint accepts requests.
     pub endpoint_open: bool,
-    /// The lease under which it was taken holds, or there is none.
+    /// The lease under which the request was accepted holds, or none is needed.
     pub lease_holds: bool,
-    /// What the client has left.
+    /// Time until the client's deadline.
     pub time_left: Duration,
-    /// If it may be a repeat: it is still dropped as one.
+    /// If it may be a duplicate, it would still be dropped as one.
     pub repeat_dropped: bool,
-    /// How long ago its head was made, if it has been.
+    /// Time since its head was made; zero if it has not been.
     pub head_age: Duration,
 }
 
 impl SendFacts {
-    /// Whether it may go out now.
+    /// Checks whether it may be sent now.
     ///
     /// # Errors
-    /// Why it may not.
+    /// The reason if it may not.
     pub fn may_send(self) -> Result<(), Denial> {
         match self {
             SendFacts { wanted: false, .. } => Err(Denial::Answered),
