--- a/crates/sandgap-fleet/src/lib.rs
+++ b/crates/sandgap-fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! What proxies need to act together, whatever they act on: sealed [`frame`]s and the [`link`]s that carry them,
-//! [`members`] that come, go and are missed, and [`lease`]s counted on each holder's own monotonic clock.
+//! Base of the protocols between proxies: authenticated [`frame`]s, the [`link`]s that carry them, fleet membership with
+//! failure detection ([`members`]), and [`lease`]s measured on each holder's own monotonic clock.
 //!
-//! Rules, hands and budgets live in crates of their own above this one; nothing here knows of them. All but
-//! [`link`] does no I/O: time and input go in, and what is to be done comes out.
+//! Rules, handovers between processes and budgets are separate crates built on this one. All modules but [`link`] are
+//! sans-IO: callers pass in time and input, and get back what has to be done.
 
 pub mod clock;
 pub mod frame;
--- a/crates/sandgap-fleet/src/limits.rs
+++ b/crates/sandgap-fleet/src/limits.rs
@@ -1,39 +1,41 @@
-//! The bounds of everything that other proxies can grow here.
+//! Bounds on everything that other proxies can make this process store or keep open.
 
 use std::time::Duration;
 
-/// Bytes of a frame's body. A rulebook of a thousand backends takes about 100 kB; a snapshot holds several.
-pub const BODY: usize = 4 << 20;
-/// Bytes of a proxy's name.
+/// Maximum bytes of a frame's body. A rulebook of a thousand backends takes about 100 kB; a snapshot holds several.
+pub const MAX_BODY_BYTES: usize = 4 << 20;
+/// Maximum bytes of a proxy's name.
 pub const NAME: usize = 64;
-/// Frames that wait for one link. Every protocol above repeats what matters, so that more are dropped, oldest first.
-pub const QUEUE: usize = 1024;
-/// Bytes that wait for one link; a peer that reads slowly must not fill the memory. Room for two largest frames.
-pub const QUEUED: usize = 2 * BODY;
-/// Bytes that wait for all links together: what a cut from everybody may hold.
-pub const QUEUED_ALL: usize = 32 << 20;
-/// Links at once, both ways: 1,024 proxies, each twice while it restarts, and as many again that are about to go.
-pub const LINKS: usize = 4096;
-/// Connections that have not proved the key yet. Strangers share these and nothing else.
-pub const UNPROVED: usize = 64;
-/// A peer has proved the key by then, or goes. Longer than a slow handshake between zones.
-pub const PROOF: Duration = Duration::from_secs(2);
-/// A link that nothing was sent on for this long is closed; it is dialled anew when it is needed.
-pub const IDLE: Duration = Duration::from_secs(30);
-/// A write that makes no progress for this long ends the link: its peer has stopped, or the way is cut.
-pub const STUCK: Duration = Duration::from_secs(3);
-/// The first wait before a failed peer is dialled again; doubled up to [`BACKOFF_MOST`], half of it drawn.
-pub const BACKOFF: Duration = Duration::from_millis(50);
-/// The longest such wait: what a healed cut costs at most before frames flow.
-pub const BACKOFF_MOST: Duration = Duration::from_millis(500);
-/// Asks without an answer that are remembered, by one holder of leases. Asked about four times a lease, more than
-/// this means that all are lost.
-pub const ASKS: usize = 32;
-/// Members that are known at once; further ones are not learned of. 300 proxies, several times over.
+/// Maximum frames queued for one peer. Further frames displace the oldest; the protocols above retransmit what matters.
+pub const MAX_QUEUED_FRAMES: usize = 1024;
+/// Maximum bytes queued for one peer, so that a slow reader can't fill the memory. Room for two frames of maximum size.
+pub const MAX_QUEUED_BYTES: usize = 2 * MAX_BODY_BYTES;
+/// Maximum bytes queued for all peers together, for when this proxy is cut off from all of them.
+pub const MAX_TOTAL_QUEUED_BYTES: usize = 32 << 20;
+/// Maximum concurrent links, inbound and outbound: 1,024 proxies, each twice while it restarts, and as many again that
+/// are about to close.
+pub const MAX_LINKS: usize = 4096;
+/// Maximum inbound connections that have not proved the key yet. Unauthenticated peers can use up only these.
+pub const MAX_UNPROVED: usize = 64;
+/// Timeout of the handshake that proves the key. Longer than a slow handshake between zones.
+pub const PROOF_TIMEOUT: Duration = Duration::from_secs(2);
+/// A link without traffic for this long is closed; it is dialled again when needed.
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// A link is closed if its writes stall, or frames are written and nothing is received, for this long: its peer has
+/// stopped, or the network is partitioned.
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// First backoff before a failed peer is dialled again; doubled up to [`MAX_BACKOFF`], half of it random jitter.
+pub const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest backoff: the maximum delay before frames flow again after a partition has healed.
+pub const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum unanswered lease requests that a holder remembers. A holder sends about four per lease term, so more than this
+/// means that all are lost.
+pub const MAX_PENDING_ASKS: usize = 32;
+/// Maximum known members; further ones are ignored. Several times the size of a fleet of 300 proxies.
 pub const MEMBERS: usize = 2048;
-/// Bytes of a membership message: a few dozen members told in one.
-pub const GOSSIP: usize = 1400;
-/// Members that a proxy is made known to by its settings: the voters.
-pub const SEEDS: usize = 16;
-/// After this span, and up to as much again, a proxy that knows nobody makes itself known once more.
-pub const REJOIN: Duration = Duration::from_secs(1);
+/// Maximum bytes of a membership message, which holds a few dozen members.
+pub const MAX_GOSSIP_BYTES: usize = 1400;
+/// Maximum seed members that a proxy announces itself to, as its settings name them: the voters.
+pub const MAX_SEEDS: usize = 16;
+/// A proxy that knows no other member announces itself again after this time plus up to as much jitter.
+pub const REJOIN_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/sandgap-fleet/src/link.rs
+++ b/crates/sandgap-fleet/src/link.rs
@@ -1,7 +1,7 @@
-//! Links: TCP connections that carry [`crate::frame`]s between proxies, the only part of this crate that does I/O.
+//! Links: TCP connections that carry [`crate::frame`]s between proxies. The only module of this crate that does I/O.
 //!
-//! A link is dialled when something is to be sent and none is up, and serves both ways. Nothing is promised: a frame
-//! may be lost with its link, or dropped where too much waits, and comes at most once. Protocols above ask again.
+//! A link is dialled when a frame is to be sent and no link is up, and carries frames in both directions. Delivery is at
+//! most once: a frame is lost with its link, or dropped if the queue is full. The protocols above retransmit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,101 +20,106 @@
 
 use crate::frame::{FrameError, Hello, Key, Opener, Sealer, Side, session};
 use crate::limits::{
-    BACKOFF, BACKOFF_MOST, BODY, IDLE, LINKS, NAME, PROOF, QUEUE, QUEUED, QUEUED_ALL, STUCK, UNPROVED,
+    IDLE_TIMEOUT, MAX_BACKOFF, MAX_BODY_BYTES, MAX_LINKS, MAX_QUEUED_BYTES, MAX_QUEUED_FRAMES,
+    MAX_TOTAL_QUEUED_BYTES, MAX_UNPROVED, MIN_BACKOFF, NAME, PROOF_TIMEOUT, STALL_TIMEOUT,
 };
 
-/// Bytes read at once.
-const READ: usize = 16 << 10;
-/// Wait after a failed accept, lest it spin.
-const PAUSE: Duration = Duration::from_millis(50);
-/// The channel of the first frame, which proves the key.
-const PROVE: u8 = 0;
+/// Bytes per read, and threshold for batching queued frames into one write.
+const IO_BUFFER_BYTES: usize = 16 << 10;
+/// Delay after a failed accept, to avoid a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Channel of the first frame, which proves the key.
+const PROOF_CHANNEL: u8 = 0;
 
-/// The socket under a link.
+/// The socket of a link.
 type Link = SharedStream<TcpStream>;
 
-/// What has come from another proxy.
+/// A frame received from another proxy.
 #[derive(Debug)]
 pub struct Incoming {
-    /// Its name, proved by the shared key.
+    /// The sender's name, authenticated by the shared key.
     pub from: String,
-    /// The channel, 1 to 255.
+    /// Channel, 1 to 255.
     pub channel: u8,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// How a link came to its end.
+/// Why a link ended.
 #[derive(Debug, thiserror::Error)]
 enum LinkError {
     #[error(transparent)]
     Frame(#[from] FrameError),
     #[error(transparent)]
     System(#[from] io::Error),
-    #[error("no proof of the key in time")]
-    Unproved,
-    #[error("it is {0:?}, not {1:?}")]
-    Other(String, String),
-    #[error("nothing moves")]
-    Stuck,
+    #[error("the peer did not prove the shared key within {PROOF_TIMEOUT:?}")]
+    ProofTimeout,
+    #[error("the peer's name is {0:?}, expected {1:?}")]
+    WrongName(String, String),
+    #[error("the peer did not read or answer for {STALL_TIMEOUT:?}")]
+    Stalled,
 }
 
-/// What waits for one proxy, and how to reach it.
+/// Send queue and connection state of one peer.
 #[derive(Default)]
 struct Peer {
     address: Cell<Option<SocketAddr>>,
     queue: RefCell<VecDeque<(u8, Rc<[u8]>)>>,
-    queued: Cell<usize>,
-    /// The same of all peers together.
-    all: Rc<Cell<usize>>,
-    more: Notify,
-    /// Links that are up.
+    /// Bytes in `queue`.
+    queued_bytes: Cell<usize>,
+    /// Bytes queued for all peers together.
+    total_queued_bytes: Rc<Cell<usize>>,
+    queue_changed: Notify,
+    /// Established links.
     links: Cell<usize>,
     dialling: Cell<bool>,
-    /// The wait before the next dial, and when it is over.
+    /// Backoff before the next dial, and when it ends.
     backoff: Cell<Duration>,
-    not_before: Cell<Option<Instant>>,
+    backoff_until: Cell<Option<Instant>>,
 }
 
 impl Peer {
-    fn put(&self, channel: u8, body: Rc<[u8]>) {
+    fn enqueue(&self, channel: u8, body: Rc<[u8]>) {
         let mut queue = self.queue.borrow_mut();
-        self.count(body.len() as isize);
+        self.adjust_queued(body.len() as isize);
         queue.push_back((channel, body));
-        while queue.len() > QUEUE || self.queued.get() > QUEUED || self.all.get() > QUEUED_ALL {
+        while queue.len() > MAX_QUEUED_FRAMES
+            || self.queued_bytes.get() > MAX_QUEUED_BYTES
+            || self.total_queued_bytes.get() > MAX_TOTAL_QUEUED_BYTES
+        {
             let Some((_, old)) = queue.pop_front() else { break };
-            self.count(-(old.len() as isize));
+            self.adjust_queued(-(old.len() as isize));
         }
-        self.more.notify_one();
+        self.queue_changed.notify_one();
     }
 
-    fn count(&self, bytes: isize) {
-        for count in [&self.queued, &self.all] {
+    fn adjust_queued(&self, bytes: isize) {
+        for count in [&self.queued_bytes, &self.total_queued_bytes] {
             count.set(count.get().saturating_add_signed(bytes));
         }
     }
 
     fn clear(&self) {
         self.queue.borrow_mut().clear();
-        self.count(-(self.queued.get() as isize));
+        self.adjust_queued(-(self.queued_bytes.get() as isize));
     }
 
-    fn take(&self, sealer: &mut Sealer, out: &mut Vec<u8>) -> Result<(), FrameError> {
-        while out.len() < READ {
+    fn seal_queued(&self, sealer: &mut Sealer, out: &mut Vec<u8>) -> Result<(), FrameError> {
+        while out.len() < IO_BUFFER_BYTES {
             let Some((channel, body)) = self.queue.borrow_mut().pop_front() else { break };
-            self.count(-(body.len() as isize));
+            self.adjust_queued(-(body.len() as isize));
             sealer.seal(channel, &body, out)?;
         }
         Ok(())
     }
 }
 
-/// Counts, for staff and tests.
+/// Counters for operators and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Connections that came to an end for a frame or hello that was wrong.
+    /// Inbound connections whose handshake failed, and links that ended because of an invalid frame.
     pub refused: u64,
-    /// Bytes written, seals included.
+    /// Bytes written, including MACs.
     pub written: u64,
     /// Bytes read.
     pub read: u64,
@@ -126,62 +131,62 @@
     name: String,
     incoming: mpsc::Sender<Incoming>,
     peers: RefCell<FxHashMap<String, Rc<Peer>>>,
-    /// Bytes that wait for all peers together.
-    queued: Rc<Cell<usize>>,
+    /// Bytes queued for all peers together.
+    queued_bytes: Rc<Cell<usize>>,
     unproved: Cell<usize>,
     links: Cell<usize>,
     counts: Cell<Counts>,
 }
 
 impl Links {
-    /// No link yet. What comes is put into `incoming`; where that is full, links wait, and their peers' queues grow to
-    /// their bounds instead of this one's.
+    /// No links yet. Received frames go to `incoming`; if that is full, the links stop reading, so that backpressure fills
+    /// the bounded queues of the peers.
     pub fn new(key: Key, name: String, incoming: mpsc::Sender<Incoming>) -> Rc<Self> {
         Rc::new(Links {
             key,
             name,
             incoming,
             peers: RefCell::default(),
-            queued: Rc::default(),
+            queued_bytes: Rc::default(),
             unproved: Cell::default(),
             links: Cell::default(),
             counts: Cell::default(),
         })
     }
 
-    /// What has been counted so far.
+    /// Current counters.
     pub fn counts(&self) -> Counts {
         self.counts.get()
     }
 
-    /// Links that are up at present.
+    /// Number of established links.
     pub fn up(&self) -> usize {
         self.links.get()
     }
 
-    /// Takes links from others for as long as the process runs.
+    /// Accepts links from other proxies; never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.unproved.get() < UNPROVED && self.links.get() < LINKS => {
+                Ok((stream, _)) if self.unproved.get() < MAX_UNPROVED && self.links.get() < MAX_LINKS => {
                     let links = self.clone();
                     spawn_local(async move {
-                        let _ = links.accepted(stream).await; // a stranger's end is no news
+                        let _ = links.accepted(stream).await; // failed handshakes are only counted
                     });
                 }
-                Ok(_) => {} // too many at once: it is closed, and comes again
-                Err(_) => sleep(PAUSE).await,
+                Ok(_) => {} // too many at once: the connection is closed, and the peer dials again
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    /// Sends a frame to the proxy of a name; `address` is where it is dialled if no link is up. Without an address only
-    /// a link that is up will do. A body beyond all bounds is dropped: no protocol above makes one.
+    /// Queues a frame for the named proxy, which is dialled at `address` if no link is up. Without an address, the last known
+    /// one is used. Frames with an invalid name or an oversized body are dropped; the protocols above produce none.
     pub fn send(
         self: &Rc<Self>, to: &str, address: Option<SocketAddr>, channel: u8, body: impl Into<Rc<[u8]>>,
     ) {
         let body = body.into();
-        if body.len() > BODY || to == self.name || to.is_empty() || to.len() > NAME {
+        if body.len() > MAX_BODY_BYTES || to == self.name || to.is_empty() || to.len() > NAME {
             return;
         }
         let Some(peer) = self.peer(to) else { return };
@@ -191,13 +196,13 @@
         if peer.links.get() == 0 && !self.dial(to, &peer) {
             return;
         }
-        peer.put(channel, body);
+        peer.enqueue(channel, body);
     }
 
-    /// What is kept for a proxy. Those that nothing is known of any more give way.
+    /// The state of a peer, created if needed. At the bound, peers without a link or a dial in progress are removed first.
     fn peer(&self, name: &str) -> Option<Rc<Peer>> {
         let mut peers = self.peers.borrow_mut();
-        if peers.len() >= LINKS && !peers.contains_key(name) {
+        if peers.len() >= MAX_LINKS && !peers.contains_key(name) {
             peers.retain(|_, p| {
                 let stays = p.links.get() > 0 || p.dialling.get();
                 if !stays {
@@ -205,21 +210,21 @@
                 }
                 stays
             });
-            if peers.len() >= LINKS {
+            if peers.len() >= MAX_LINKS {
                 return None;
             }
         }
-        let new = || Rc::new(Peer { all: self.queued.clone(), ..Peer::default() });
+        let new = || Rc::new(Peer { total_queued_bytes: self.queued_bytes.clone(), ..Peer::default() });
         Some(peers.entry(name.to_owned()).or_insert_with(new).clone())
     }
 
-    /// Begins to dial, unless that is on its way. Says whether a link may come up soon.
+    /// Starts to dial unless a dial is in progress. Returns whether a link may come up soon.
     fn dial(self: &Rc<Self>, name: &str, peer: &Rc<Peer>) -> bool {
         if peer.dialling.get() {
             return true;
         }
         let Some(address) = peer.address.get() else { return false };
-        if peer.not_before.get().is_some_and(|at| Instant::now() < at) {
+        if peer.backoff_until.get().is_some_and(|at| Instant::now() < at) {
             return false;
         }
         peer.dialling.set(true);
@@ -228,15 +233,15 @@
             let up = links.dialled(&name, address, &peer).await;
             peer.dialling.set(false);
             if up.is_err() {
-                let wait = (peer.backoff.get() * 2).clamp(BACKOFF, BACKOFF_MOST);
+                let wait = (peer.backoff.get() * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
                 peer.backoff.set(wait);
-                // Half of it is drawn: proxies that lost the same peer at once come back apart.
-                let mut drawn = [0; 1];
-                let _ = getrandom::fill(&mut drawn); // without chance they come at once
-                let wait = wait / 2 + wait / 2 * u32::from(drawn[0]) / 255;
-                peer.not_before.set(Some(Instant::now() + wait));
+                // Half of it is jitter, so that proxies that lost the same peer don't all reconnect at once.
+                let mut jitter = [0; 1];
+                let _ = getrandom::fill(&mut jitter); // without random numbers there is no jitter
+                let wait = wait / 2 + wait / 2 * u32::from(jitter[0]) / 255;
+                peer.backoff_until.set(Some(Instant::now() + wait));
                 if peer.links.get() == 0 {
-                    peer.clear(); // what waited is old by the time the way is open again
+                    peer.clear(); // queued frames would be outdated when the peer is reachable again
                 }
             }
         });
@@ -246,21 +251,22 @@
     async fn dialled(
         self: &Rc<Self>, name: &str, address: SocketAddr, peer: &Rc<Peer>,
     ) -> Result<(), LinkError> {
-        let begin = async {
+        let handshake = async {
             let mut stream = Link::from(TcpStream::connect(address).await?);
             let _ = stream.set_nodelay(true);
             let own = self.hello()?;
             stream.write_all(&own.encode()).await?;
-            let (other, rest) = hear_hello(&mut stream).await?;
+            let (other, rest) = read_hello(&mut stream).await?;
             if other.name != name {
-                return Err(LinkError::Other(other.name, name.to_owned()));
+                return Err(LinkError::WrongName(other.name, name.to_owned()));
             }
             let (mut sealer, mut opener) = session(&self.key, Side::Dialled, &own, &other);
-            opener.take(&rest);
-            prove(&mut stream, &mut sealer, &mut opener).await?;
+            opener.push_bytes(&rest);
+            exchange_proofs(&mut stream, &mut sealer, &mut opener).await?;
             Ok((stream, sealer, opener))
         };
-        let (stream, sealer, opener) = timeout(PROOF, begin).await.map_err(|_| LinkError::Unproved)??;
+        let (stream, sealer, opener) =
+            timeout(PROOF_TIMEOUT, handshake).await.map_err(|_| LinkError::ProofTimeout)??;
         peer.backoff.set(Duration::ZERO);
         peer.dialling.set(false);
         self.run(name, peer, stream, sealer, opener).await;
@@ -270,21 +276,21 @@
     async fn accepted(self: &Rc<Self>, stream: TcpStream) -> Result<(), LinkError> {
         let _ = stream.set_nodelay(true);
         let mut stream = Link::from(stream);
-        let waits = Held::new(&self.unproved);
-        let begin = async {
+        let unproved = CountGuard::new(&self.unproved);
+        let handshake = async {
             let own = self.hello()?;
-            let (other, rest) = hear_hello(&mut stream).await?;
+            let (other, rest) = read_hello(&mut stream).await?;
             stream.write_all(&own.encode()).await?;
             let (mut sealer, mut opener) = session(&self.key, Side::Accepted, &own, &other);
-            opener.take(&rest);
-            prove(&mut stream, &mut sealer, &mut opener).await?;
+            opener.push_bytes(&rest);
+            exchange_proofs(&mut stream, &mut sealer, &mut opener).await?;
             Ok((other.name, sealer, opener))
         };
-        let begun = timeout(PROOF, begin).await.unwrap_or(Err(LinkError::Unproved));
-        drop(waits);
-        let (name, sealer, opener) = begun.inspect_err(|_| self.count(|c| c.refused += 1))?;
+        let outcome = timeout(PROOF_TIMEOUT, handshake).await.unwrap_or(Err(LinkError::ProofTimeout));
+        drop(unproved);
+        let (name, sealer, opener) = outcome.inspect_err(|_| self.count(|c| c.refused += 1))?;
         if name == self.name {
-            return Ok(()); // another process of this name, or this one itself
+            return Ok(()); // another process with this name, or this process itself
         }
         let Some(peer) = self.peer(&name) else { return Ok(()) };
         self.run(&name, &peer, stream, sealer, opener).await;
@@ -292,99 +298,101 @@
     }
 
     fn hello(&self) -> Result<Hello, LinkError> {
-        let mut chance = [0; 16];
-        getrandom::fill(&mut chance).map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Hello { chance, name: self.name.clone() })
+        let mut nonce = [0; 16];
+        getrandom::fill(&mut nonce).map_err(|e| io::Error::other(e.to_string()))?;
+        Ok(Hello { nonce, name: self.name.clone() })
     }
 
-    fn count(&self, by: impl FnOnce(&mut Counts)) {
+    fn count(&self, update: impl FnOnce(&mut Counts)) {
         let mut counts = self.counts.get();
-        by(&mut counts);
+        update(&mut counts);
         self.counts.set(counts);
     }
 
-    /// Carries frames both ways until the link ends.
+    /// Carries frames in both directions until the link ends.
     async fn run(&self, name: &str, peer: &Rc<Peer>, stream: Link, sealer: Sealer, opener: Opener) {
-        let _link = Held::new(&self.links);
-        let _up = Held::new(&peer.links);
-        let heard = Cell::new(Instant::now());
+        let _link = CountGuard::new(&self.links);
+        let _peer_link = CountGuard::new(&peer.links);
+        let last_received = Cell::new(Instant::now());
         tokio::select! {
-            _ = self.reads(name, stream.clone(), opener, &heard) => {}
-            _ = self.writes(peer, stream, sealer, &heard) => {}
+            _ = self.read_frames(name, stream.clone(), opener, &last_received) => {}
+            _ = self.write_frames(peer, stream, sealer, &last_received) => {}
         }
-        peer.more.notify_one(); // another link may take what is left
+        peer.queue_changed.notify_one(); // another link may send what is left
     }
 
-    async fn reads(
-        &self, name: &str, mut read: Link, mut opener: Opener, heard: &Cell<Instant>,
+    async fn read_frames(
+        &self, name: &str, mut read: Link, mut opener: Opener, last_received: &Cell<Instant>,
     ) -> Result<(), LinkError> {
-        let mut buffer = vec![0; READ];
+        let mut buffer = vec![0; IO_BUFFER_BYTES];
         loop {
             loop {
                 let frame = opener.next_frame().inspect_err(|_| self.count(|c| c.refused += 1))?;
                 let Some((channel, body)) = frame else { break };
                 let (from, body) = (name.to_owned(), body.to_vec());
-                if channel != PROVE && self.incoming.send(Incoming { from, channel, body }).await.is_err() {
-                    return Ok(()); // the process ends
+                if channel != PROOF_CHANNEL
+                    && self.incoming.send(Incoming { from, channel, body }).await.is_err()
+                {
+                    return Ok(()); // the receiver is gone: the process is shutting down
                 }
             }
             let n = read.read(&mut buffer).await?;
             if n == 0 {
                 return Ok(());
             }
-            heard.set(Instant::now());
+            last_received.set(Instant::now());
             self.count(|c| c.read += n as u64);
-            opener.take(&buffer[..n]);
+            opener.push_bytes(&buffer[..n]);
         }
     }
 
-    /// Writes what waits. The link ends where nothing was sent for long, or where much was sent and nothing heard: what
-    /// is said between proxies is answered.
-    async fn writes(
-        &self, peer: &Peer, mut write: Link, mut sealer: Sealer, heard: &Cell<Instant>,
+    /// Writes queued frames. The link ends if it is idle for [`IDLE_TIMEOUT`], or if frames are sent for longer than
+    /// [`STALL_TIMEOUT`] and nothing is received: messages between proxies are always answered.
+    async fn write_frames(
+        &self, peer: &Peer, mut write: Link, mut sealer: Sealer, last_received: &Cell<Instant>,
     ) -> Result<(), LinkError> {
         let mut out = Vec::new();
         let mut first_unanswered: Option<Instant> = None;
         loop {
             out.clear();
-            peer.take(&mut sealer, &mut out)?;
+            peer.seal_queued(&mut sealer, &mut out)?;
             if out.is_empty() {
-                match timeout(IDLE, peer.more.notified()).await {
+                match timeout(IDLE_TIMEOUT, peer.queue_changed.notified()).await {
                     Ok(()) => continue,
-                    Err(_) if heard.get().elapsed() >= IDLE => return Ok(()),
+                    Err(_) if last_received.get().elapsed() >= IDLE_TIMEOUT => return Ok(()),
                     Err(_) => continue,
                 }
             }
             let since = *first_unanswered.get_or_insert_with(Instant::now);
-            if heard.get() >= since {
+            if last_received.get() >= since {
                 first_unanswered = Some(Instant::now());
-            } else if since.elapsed() > STUCK {
-                return Err(LinkError::Stuck);
+            } else if since.elapsed() > STALL_TIMEOUT {
+                return Err(LinkError::Stalled);
             }
-            timeout(STUCK, write.write_all(&out)).await.map_err(|_| LinkError::Stuck)??;
+            timeout(STALL_TIMEOUT, write.write_all(&out)).await.map_err(|_| LinkError::Stalled)??;
             self.count(|c| c.written += out.len() as u64);
         }
     }
 }
 
-/// One of something, counted while it lives.
-struct Held<'a>(&'a Cell<usize>);
+/// Counts one while it is alive.
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Held<'a> {
+impl<'a> CountGuard<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
-        Held(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Reads the other side's hello, and what came along with it.
-async fn hear_hello(stream: &mut Link) -> Result<(Hello, Vec<u8>), LinkError> {
+/// Reads the peer's hello; returns it with the bytes that followed it.
+async fn read_hello(stream: &mut Link) -> Result<(Hello, Vec<u8>), LinkError> {
     let mut bytes = Vec::new();
     loop {
         if let Some((hello, used)) = Hello::decode(&bytes)? {
@@ -396,18 +404,20 @@
     }
 }
 
-/// Sends the first frame and waits for the other side's.
-async fn prove(stream: &mut Link, sealer: &mut Sealer, opener: &mut Opener) -> Result<(), LinkError> {
+/// Sends the first frame and waits for the peer's.
+async fn exchange_proofs(
+    stream: &mut Link, sealer: &mut Sealer, opener: &mut Opener,
+) -> Result<(), LinkError> {
     let mut out = Vec::new();
-    sealer.seal(PROVE, &[], &mut out)?;
+    sealer.seal(PROOF_CHANNEL, &[], &mut out)?;
     stream.write_all(&out).await?;
-    let mut buffer = vec![0; READ];
+    let mut buffer = vec![0; IO_BUFFER_BYTES];
     while opener.next_frame()?.is_none() {
         let n = stream.read(&mut buffer).await?;
         if n == 0 {
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
-        opener.take(&buffer[..n]);
+        opener.push_bytes(&buffer[..n]);
     }
     Ok(())
 }
--- a/crates/sandgap-fleet/src/members.rs
+++ b/crates/sandgap-fleet/src/members.rs
@@ -1,9 +1,10 @@
-//! Who belongs to the fleet and who is missed: SWIM with suspicion, incarnations and the indirect probe (Das, Gupta
-//! and Motivala, DSN 2002), by the `foca` engine, which does no I/O. This wraps it so that time and chance come in from
-//! outside: the same input gives the same output.
+//! Fleet membership and failure detection: SWIM with suspicion, incarnations and indirect probes (Das, Gupta and Motivala,
+//! DSN 2002), implemented by the sans-IO `foca` engine. This wrapper takes time and the random seed from the caller, so
+//! that the same input gives the same output.
 //!
-//! A member that is slow is asked after by others before anybody suspects it, and has time to object. What rests on
-//! this is only whom to ask and whom to wait for; no safety rests on it, that is the leases' (see [`crate::lease`]).
+//! A slow member is probed indirectly through others before it is suspected, and has time to refute the suspicion.
+//! Membership only decides which peers to contact and to wait for. Safety does not depend on it; leases provide that (see
+//! [`crate::lease`]).
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,18 +18,18 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::limits::{GOSSIP, MEMBERS, REJOIN, SEEDS};
+use crate::limits::{MAX_GOSSIP_BYTES, MAX_SEEDS, MEMBERS, REJOIN_INTERVAL};
 
-/// One process of a proxy.
+/// A process of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The proxy's name: one process at a time bears it.
+    /// The proxy's name, used by one process at a time.
     pub name: String,
-    /// Where it is reached.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// Tells its processes apart: a later one has a higher number.
+    /// Distinguishes processes of the same name: a later one has a higher number.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Zone, if set.
     pub zone: Option<String>,
 }
 
@@ -48,21 +49,21 @@
     }
 }
 
-/// What has to be sent to another member.
+/// A message to be sent to another member.
 #[derive(Debug)]
 pub struct Gossip {
-    /// To whom.
+    /// Receiver.
     pub to: Identity,
-    /// A message of at most [`GOSSIP`] bytes.
+    /// Encoded message of at most [`MAX_GOSSIP_BYTES`].
     pub bytes: Vec<u8>,
 }
 
-/// How soon a member is missed.
+/// Timing of the failure detection.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// A member is asked in each such span; longer than two ways there and back.
+    /// Probe interval; longer than two round trips.
     pub probe: Duration,
-    /// A suspect has this long to object.
+    /// Time that a suspected member has to refute the suspicion.
     pub suspect: Duration,
 }
 
@@ -72,90 +73,101 @@
     }
 }
 
-struct Due {
+/// A scheduled timer, ordered by time and then by number.
+struct ScheduledTimer {
     at: Time,
     number: u64,
     timer: Timer<Identity>,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledTimer {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.number) == (other.at, other.number)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledTimer {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledTimer {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledTimer {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.number).cmp(&(other.at, other.number))
     }
 }
 
-/// The members as this one sees them.
+/// This process's view of the fleet's members.
 pub struct Members {
     engine: Foca<Identity, PostcardCodec, StdRng, NoCustomBroadcast>,
     me: Identity,
     out: AccumulatingRuntime<Identity>,
-    due: BinaryHeap<Reverse<Due>>,
-    numbered: u64,
-    /// Those that this one was made known to by name and address, see [`Members::join`].
+    timers: BinaryHeap<Reverse<ScheduledTimer>>,
+    last_timer_number: u64,
+    /// Names and addresses of the members that this one announces itself to, see [`Members::join`].
     seeds: Vec<(String, SocketAddr)>,
-    /// When it is made known to them again, if nobody is known by then.
-    rejoin: Option<Time>,
-    /// How long after each time.
-    rejoin_wait: Duration,
+    /// When it announces itself to the seeds again, if no other member is known by then.
+    rejoin_at: Option<Time>,
+    /// Interval of these announcements.
+    rejoin_interval: Duration,
 }
 
 impl Members {
-    /// A fleet of one.
+    /// A fleet with no other known member.
     pub fn new(me: Identity, pace: Pace, seed: u64) -> Self {
-        let some = |n| NonZeroUsize::new(n).expect("not zero");
-        let each = |frequency, members| Some(PeriodicParams { frequency, num_members: some(members) });
+        let non_zero = |n| NonZeroUsize::new(n).expect("not zero");
+        let periodic =
+            |frequency, members| Some(PeriodicParams { frequency, num_members: non_zero(members) });
         let config = Config {
             probe_period: pace.probe,
             probe_rtt: pace.probe / 3,
             suspect_to_down_after: pace.suspect,
-            max_packet_size: some(GOSSIP),
+            max_packet_size: non_zero(MAX_GOSSIP_BYTES),
             notify_down_members: true,
-            periodic_announce: each(pace.probe * 20, 1),
-            // What was cut off is looked for again soon after the cut has healed.
-            periodic_announce_to_down_members: each(pace.probe * 4, 2),
-            // More often would cost a proxy more than its requests gain: nothing but whom to ask rests on this.
-            periodic_gossip: each(pace.probe, 2),
+            periodic_announce: periodic(pace.probe * 20, 1),
+            // Finds partitioned members again soon after the partition has healed.
+            periodic_announce_to_down_members: periodic(pace.probe * 4, 2),
+            // Gossiping more often would cost a proxy more than it gains: membership only decides which peers to contact.
+            periodic_gossip: periodic(pace.probe, 2),
             ..Config::simple()
         };
         let engine = Foca::new(me.clone(), config, StdRng::seed_from_u64(seed), PostcardCodec);
-        let (out, due) = (AccumulatingRuntime::new(), BinaryHeap::new());
-        // Drawn apart, so that those whom a crowd kept out don't come back as one.
-        let rejoin_wait = REJOIN + REJOIN * (seed % 256) as u32 / 256;
-        Members { engine, me, out, due, numbered: 0, seeds: Vec::new(), rejoin: None, rejoin_wait }
+        let (out, timers) = (AccumulatingRuntime::new(), BinaryHeap::new());
+        // Jitter, so that proxies whose first announcements were lost in a burst don't retry all at once.
+        let rejoin_interval = REJOIN_INTERVAL + REJOIN_INTERVAL * (seed % 256) as u32 / 256;
+        Members {
+            engine,
+            me,
+            out,
+            timers,
+            last_timer_number: 0,
+            seeds: Vec::new(),
+            rejoin_at: None,
+            rejoin_interval,
+        }
     }
 
-    /// Makes this one known to a member of which only name and address are told, and again for as long as it knows
-    /// nobody: the way there may be full of others that join.
+    /// Announces this process to a seed member given by name and address. Repeated as long as no other member is known, since
+    /// an announcement may be lost when many proxies join at once.
     pub fn join(&mut self, now: Time, name: &str, address: SocketAddr) -> Vec<Gossip> {
-        if self.seeds.len() < SEEDS && !self.seeds.iter().any(|(seed, _)| seed == name) {
+        if self.seeds.len() < MAX_SEEDS && !self.seeds.iter().any(|(seed, _)| seed == name) {
             self.seeds.push((name.to_owned(), address));
         }
-        self.rejoin = Some(now + self.rejoin_wait);
+        self.rejoin_at = Some(now + self.rejoin_interval);
         self.announce(now, name, address)
     }
 
     fn announce(&mut self, now: Time, name: &str, address: SocketAddr) -> Vec<Gossip> {
         let other = Identity { name: name.into(), address, incarnation: 0, zone: None };
-        // It fails only where the message does not fit, which an identity of bounded names can't bring about.
+        // Fails only if the message exceeds the maximum size, which can't happen with names of bounded length.
         let _ = self.engine.announce(other, &mut self.out);
         self.collect(now)
     }
 
-    /// Takes in another member's message. One that can't be read is passed over, as if it had been lost.
+    /// Handles another member's message. A malformed message is ignored, as if it had been lost.
     pub fn hear(&mut self, now: Time, bytes: &[u8]) -> Vec<Gossip> {
         if self.engine.iter_membership_state().len() < MEMBERS {
             let _ = self.engine.handle_data(bytes, &mut self.out);
@@ -163,23 +175,23 @@
         self.collect(now)
     }
 
-    /// When something is due next.
+    /// When the next timer fires.
     pub fn next_due(&self) -> Option<Time> {
-        let due = self.due.peek().map(|Reverse(due)| due.at);
-        due.into_iter().chain(self.rejoin).min()
+        let due = self.timers.peek().map(|Reverse(due)| due.at);
+        due.into_iter().chain(self.rejoin_at).min()
     }
 
-    /// Does what is due by now.
+    /// Runs all timers that are due.
     pub fn fire(&mut self, now: Time) -> Vec<Gossip> {
         let mut out = Vec::new();
-        while self.due.peek().is_some_and(|Reverse(due)| due.at <= now) {
-            let Some(Reverse(due)) = self.due.pop() else { break };
-            // A timer that came too late for its probe is the engine's to pass over.
+        while self.timers.peek().is_some_and(|Reverse(due)| due.at <= now) {
+            let Some(Reverse(due)) = self.timers.pop() else { break };
+            // The engine ignores a timer that fires too late for its probe.
             let _ = self.engine.handle_timer(due.timer, &mut self.out);
             out.extend(self.collect(now));
         }
-        if self.rejoin.is_some_and(|at| at <= now) {
-            self.rejoin = Some(now + self.rejoin_wait);
+        if self.rejoin_at.is_some_and(|at| at <= now) {
+            self.rejoin_at = Some(now + self.rejoin_interval);
             if self.engine.num_members() == 0 {
                 for (name, address) in self.seeds.clone() {
                     out.extend(self.announce(now, &name, address));
@@ -189,13 +201,13 @@
         out
     }
 
-    /// Takes leave, so that nobody waits to miss this one.
+    /// Leaves the fleet gracefully, so that the others need not detect a failure.
     pub fn leave(&mut self, now: Time) -> Vec<Gossip> {
         let _ = self.engine.leave_cluster(&mut self.out);
         self.collect(now)
     }
 
-    /// All that are not missed, this one included, by name.
+    /// All members believed to be alive, including this one, sorted by name.
     pub fn present(&self) -> Vec<Identity> {
         let others = self.engine.iter_members().map(|m| m.id().clone());
         let mut all: Vec<Identity> = others.chain([self.me.clone()]).collect();
@@ -203,18 +215,22 @@
         all
     }
 
-    /// Where a member is reached, if it is not missed.
+    /// The identity of another member, if it is believed to be alive.
     pub fn find(&self, name: &str) -> Option<&Identity> {
         self.engine.iter_members().map(foca::Member::id).find(|m| m.name == name)
     }
 
     fn collect(&mut self, now: Time) -> Vec<Gossip> {
         while let Some((after, timer)) = self.out.to_schedule() {
-            self.numbered += 1;
-            self.due.push(Reverse(Due { at: now + after, number: self.numbered, timer }));
+            self.last_timer_number += 1;
+            self.timers.push(Reverse(ScheduledTimer {
+                at: now + after,
+                number: self.last_timer_number,
+                timer,
+            }));
         }
-        while let Some(told) = self.out.to_notify() {
-            if let foca::OwnedNotification::Rejoin(me) = told {
+        while let Some(notification) = self.out.to_notify() {
+            if let foca::OwnedNotification::Rejoin(me) = notification {
                 self.me = me;
             }
         }
--- a/crates/sandgap-fleet/tests/link.rs
+++ b/crates/sandgap-fleet/tests/link.rs
@@ -1,11 +1,11 @@
-//! Links on loopback sockets: what strangers, cuts and floods do to them.
+//! Links on loopback sockets with unauthenticated peers, broken connections and full queues.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use sandgap_fleet::frame::{Hello, Key, Side, session};
-use sandgap_fleet::limits::QUEUE;
+use sandgap_fleet::limits::MAX_QUEUED_FRAMES;
 use sandgap_fleet::link::{Incoming, Links};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -13,8 +13,8 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Far longer than anything takes, however loaded the machine is.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Far longer than any step takes, even on a loaded machine.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Proxy {
     links: Rc<Links>,
@@ -38,23 +38,23 @@
     }
 
     async fn next(&mut self) -> Incoming {
-        timeout(PATIENCE, self.incoming.recv()).await.expect("in time").expect("open")
+        timeout(STEP_TIMEOUT, self.incoming.recv()).await.expect("in time").expect("open")
     }
 }
 
-fn play(test: impl Future<Output = ()>) {
+fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, async { timeout(2 * PATIENCE, test).await.expect("in time") });
+    LocalSet::new().block_on(&runtime, async { timeout(2 * STEP_TIMEOUT, test).await.expect("in time") });
 }
 
 #[test]
-fn frames_go_both_ways_on_one_link() {
-    play(async {
+fn one_link_carries_frames_in_both_directions() {
+    run(async {
         let (mut a, mut b) = (Proxy::start("a", 1).await, Proxy::start("b", 1).await);
         a.links.send("b", Some(b.address), 3, *b"to b");
         let got = b.next().await;
         assert_eq!((got.from.as_str(), got.channel, got.body.as_slice()), ("a", 3, &b"to b"[..]));
-        // b was told no address, and answers on the link that a has made.
+        // b has no address for a and answers on the link that a opened.
         b.links.send("a", None, 4, *b"back");
         let got = a.next().await;
         assert_eq!((got.from.as_str(), got.channel, got.body.as_slice()), ("b", 4, &b"back"[..]));
@@ -62,24 +62,24 @@
 }
 
 #[test]
-fn another_key_or_another_name_gets_nowhere() {
-    play(async {
+fn a_wrong_key_or_name_is_rejected() {
+    run(async {
         let mut b = Proxy::start("b", 1).await;
-        let (stranger, friend) = (Proxy::start("x", 2).await, Proxy::start("a", 1).await);
-        stranger.links.send("b", Some(b.address), 3, *b"mine");
-        friend.links.send("not-b", Some(b.address), 3, *b"theirs");
+        let (wrong_key, member) = (Proxy::start("x", 2).await, Proxy::start("a", 1).await);
+        wrong_key.links.send("b", Some(b.address), 3, *b"mine");
+        member.links.send("not-b", Some(b.address), 3, *b"theirs");
         while b.links.counts().refused == 0 {
             sleep(Duration::from_millis(5)).await;
         }
-        friend.links.send("b", Some(b.address), 3, *b"good");
+        member.links.send("b", Some(b.address), 3, *b"good");
         assert_eq!(b.next().await.body, b"good");
         assert!(b.incoming.try_recv().is_err());
     });
 }
 
-/// Connects by hand and proves the key.
-async fn by_hand(address: SocketAddr) -> (TcpStream, sandgap_fleet::frame::Sealer) {
-    let own = Hello { chance: [5; 16], name: "hand".into() };
+/// Performs the handshake on a plain socket.
+async fn connect_raw(address: SocketAddr) -> (TcpStream, sandgap_fleet::frame::Sealer) {
+    let own = Hello { nonce: [5; 16], name: "hand".into() };
     let mut stream = TcpStream::connect(address).await.expect("up");
     stream.write_all(&own.encode()).await.expect("written");
     let mut bytes = vec![0; 4 + 16 + 1 + 1];
@@ -93,11 +93,11 @@
 }
 
 #[test]
-fn a_frame_cut_in_the_middle_doubled_or_changed_changes_nothing() {
-    play(async {
+fn a_truncated_repeated_or_changed_frame_ends_the_link_and_is_not_delivered() {
+    run(async {
         let mut b = Proxy::start("b", 1).await;
         for fault in 0..3 {
-            let (mut stream, mut sealer) = by_hand(b.address).await;
+            let (mut stream, mut sealer) = connect_raw(b.address).await;
             let (mut good, mut bad) = (Vec::new(), Vec::new());
             sealer.seal(7, b"good", &mut good).expect("short");
             sealer.seal(7, b"never", &mut bad).expect("short");
@@ -110,22 +110,22 @@
             stream.shutdown().await.expect("ended");
             assert_eq!(b.next().await.body, b"good");
             let mut rest = Vec::new();
-            let _ = timeout(PATIENCE, stream.read_to_end(&mut rest)).await.expect("b ends the link");
+            let _ = timeout(STEP_TIMEOUT, stream.read_to_end(&mut rest)).await.expect("b ends the link");
         }
         assert!(b.incoming.try_recv().is_err());
     });
 }
 
 #[test]
-fn silent_strangers_are_let_go_and_others_still_come_in() {
-    play(async {
+fn silent_unauthenticated_connections_time_out_and_a_member_gets_in() {
+    run(async {
         let mut b = Proxy::start("b", 1).await;
         let mut idle = Vec::new();
-        for _ in 0..sandgap_fleet::limits::UNPROVED + 8 {
+        for _ in 0..sandgap_fleet::limits::MAX_UNPROVED + 8 {
             idle.push(TcpStream::connect(b.address).await.expect("accepted or queued"));
         }
         let a = Proxy::start("a", 1).await;
-        // Until the strangers' time is up no link may come up; then one does, as asking goes on.
+        // No link can come up until the silent connections time out; after that a retry succeeds.
         loop {
             a.links.send("b", Some(b.address), 3, *b"here");
             if timeout(Duration::from_millis(100), b.incoming.recv()).await.is_ok() {
@@ -136,8 +136,8 @@
 }
 
 #[test]
-fn a_peer_that_restarts_is_found_again() {
-    play(async {
+fn a_restarted_peer_is_reconnected() {
+    run(async {
         let a = Proxy::start("a", 1).await;
         let mut b = Proxy::start("b", 1).await;
         a.links.send("b", Some(b.address), 3, *b"one");
@@ -163,13 +163,13 @@
 }
 
 #[test]
-fn what_waits_for_a_peer_that_does_not_read_is_bounded() {
-    play(async {
+fn the_queue_for_a_peer_that_does_not_read_is_bounded() {
+    run(async {
         let a = Proxy::start("a", 1).await;
         let mut b = Proxy::start("b", 1).await;
         a.links.send("b", Some(b.address), 3, *b"first");
         assert_eq!(b.next().await.body, b"first");
-        let total = 16 * QUEUE;
+        let total = 16 * MAX_QUEUED_FRAMES;
         for n in 0..total as u32 {
             a.links.send("b", Some(b.address), 3, n.to_le_bytes());
         }
@@ -177,7 +177,7 @@
         while got.last() != Some(&(total as u32 - 1)) {
             got.push(u32::from_le_bytes(b.next().await.body.try_into().expect("four")));
         }
-        assert!(got.len() <= QUEUE, "{} came", got.len());
-        assert!(got.is_sorted(), "what was kept came in order");
+        assert!(got.len() <= MAX_QUEUED_FRAMES, "{} frames arrived", got.len());
+        assert!(got.is_sorted(), "the kept frames arrive in order");
     });
 }
