--- a/crates/sandgap-problem/src/lib.rs
+++ b/crates/sandgap-problem/src/lib.rs
@@ -1,17 +1,17 @@
-//! What is wrong with a file of settings: where, how to mend it, and which name was likely meant. The daemon's
-//! settings and the laboratory's experiments both tell it in this form.
+//! Errors in settings files: the line, how to correct it, and a suggestion for a misspelled name. Used for the daemon's
+//! settings and the simulator's experiment files.
 
 use std::fmt;
 
-/// Likeness of two names, from 0 to 1, above which one is taken for a slip of the other.
-const LIKE: f64 = 0.6;
+/// Similarity of two names (Jaro-Winkler, 0 to 1) above which one is suggested for the other.
+const MIN_SIMILARITY: f64 = 0.6;
 
-/// One thing that is wrong: where, and how to mend it.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Line of the file, from 1; 0 where something is missing as a whole.
+    /// Line of the file, from 1; 0 if the error has no line, such as a missing section.
     pub line: usize,
-    /// What is wrong and what would be right.
+    /// What is wrong and how to correct it.
     pub text: String,
 }
 
@@ -24,16 +24,16 @@
     }
 }
 
-/// The line of a byte of a text, from 1.
+/// The line number, from 1, of the byte offset `at` in a text.
 pub fn line(text: &str, at: usize) -> usize {
     1 + text.as_bytes().iter().take(at).filter(|b| **b == b'\n').count()
 }
 
-/// `; did you mean 'X'?` for the name that is most like one, nothing where none is.
+/// `; did you mean 'X'?` with the most similar name; empty if none is similar enough.
 pub fn nearest<'a>(name: &str, names: impl Iterator<Item = &'a str>) -> String {
-    let like = names.map(|n| (strsim::jaro_winkler(name, n), n));
-    match like.max_by(|a, b| a.0.total_cmp(&b.0)) {
-        Some((likeness, nearest)) if likeness > LIKE => format!("; did you mean '{nearest}'?"),
+    let similarities = names.map(|n| (strsim::jaro_winkler(name, n), n));
+    match similarities.max_by(|a, b| a.0.total_cmp(&b.0)) {
+        Some((similarity, nearest)) if similarity > MIN_SIMILARITY => format!("; did you mean '{nearest}'?"),
         _ => String::new(),
     }
 }
--- a/crates/sandgap-socket/src/lib.rs
+++ b/crates/sandgap-socket/src/lib.rs
@@ -1,9 +1,9 @@
-//! Connected sockets that are read and written until the system itself says that there is no more.
+//! Stream sockets that are read and written until the system returns `EAGAIN`.
 //!
-//! The runtime is told once of bytes or room that are there (edge-triggered epoll(7)), and its own streams take a call
-//! that moved less than was asked for as news that the buffer is drained or full. But a call may be short for other
-//! reasons, too (read(2), write(2)): whoever then waits to be told again waits for an edge that need not come. Here only
-//! `EAGAIN` counts as that news. What it costs is one more call where a buffer is in fact drained.
+//! Tokio uses edge-triggered epoll(7), and its own streams treat a short read or write as a sign that the buffer is drained
+//! or full. But a call may be short for other reasons, too (read(2), write(2)); a task that then waits for readiness waits
+//! for an edge that may never come. Here only `EAGAIN` clears readiness. The cost is one more call when a buffer really is
+//! drained.
 
 use std::io;
 use std::ops::Deref;
@@ -14,21 +14,21 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// A stream socket that is registered with the runtime. None of the calls here takes anything but `EAGAIN` for news.
+/// A stream socket that is registered with the runtime. Only `EAGAIN` clears its readiness.
 pub trait StreamSocket {
-    /// Waits until there may be something to read.
+    /// Waits until the socket may be readable.
     fn poll_read_ready(&self, cx: &mut Context) -> Poll<io::Result<()>>;
-    /// Waits until there may be room to write.
+    /// Waits until the socket may be writable.
     fn poll_write_ready(&self, cx: &mut Context) -> Poll<io::Result<()>>;
-    /// Reads what is there, up to the room that is left.
+    /// Reads available bytes, up to the buffer's remaining capacity.
     ///
     /// # Errors
-    /// `WouldBlock` where there is nothing; else the system's.
+    /// `WouldBlock` if nothing is available, else the system's error.
     fn try_read(&self, buf: &mut ReadBuf) -> io::Result<usize>;
-    /// Writes what there is room for.
+    /// Writes as many bytes as the send buffer accepts.
     ///
     /// # Errors
-    /// `WouldBlock` where there is none; else the system's.
+    /// `WouldBlock` if the send buffer is full, else the system's error.
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
 }
 
@@ -57,7 +57,7 @@
 stream_socket!(TcpStream);
 stream_socket!(UnixStream);
 
-/// A socket; clones are the same one, and it closes with the last of them.
+/// A reference-counted socket; it closes when the last clone is dropped.
 pub struct SharedStream<S>(Rc<S>);
 
 impl<S> Clone for SharedStream<S> {
@@ -81,24 +81,24 @@
 }
 
 impl<S: StreamSocket> SharedStream<S> {
-    /// Reads what there is.
+    /// Reads available bytes into `buf`, or waits until there are some.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's error.
     pub fn poll_read_some(&self, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         poll_until_blocked(cx, |cx| self.0.poll_read_ready(cx), || self.0.try_read(buf)).map_ok(|_| ())
     }
 
-    /// Writes what there is room for.
+    /// Writes as many bytes as the send buffer accepts, or waits until it accepts some.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's error.
     pub fn poll_write_some(&self, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         poll_until_blocked(cx, |cx| self.0.poll_write_ready(cx), || self.0.try_write(bytes))
     }
 }
 
-/// Makes a call when the socket is ready, again where it was interrupted, and waits where it would block.
+/// Makes a call when the socket is ready; retries it if it was interrupted, and waits if it would block.
 fn poll_until_blocked(
     cx: &mut Context, ready: impl Fn(&mut Context) -> Poll<io::Result<()>>,
     mut call: impl FnMut() -> io::Result<usize>,
@@ -124,10 +124,10 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(())) // nothing is held back
+        Poll::Ready(Ok(())) // nothing is buffered
     }
 
-    /// Nothing: the sending ends with the last clone. Who wants to end it sooner asks the socket.
+    /// Does nothing: the write side closes with the last clone. To close it earlier, shut down the socket itself.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
