--- a/crates/sandgap-driver/src/core.rs
+++ b/crates/sandgap-driver/src/core.rs
@@ -71,8 +71,8 @@
     fn subscribe(&mut self);
     /// Fetches the list of backends once.
     fn fetch_list(&mut self);
-    /// A list of this scope has been applied; `some` is true if it names any backend.
-    fn listed(&mut self, scope: Scope, some: bool);
+    /// A list of this scope has been applied; `has_backends` is true if it names any.
+    fn listed(&mut self, scope: Scope, has_backends: bool);
     /// The module requested an action that is not allowed; it was not performed.
     fn violation(&mut self, violation: Violation, request: RequestId);
     /// An answer is given more than [`LATEST_ANSWER`] after its client's deadline: there was a standstill of the process or
@@ -295,7 +295,7 @@
         loop {
             let Reverse((at, due)) = self.timers.peek()?;
             match due {
-                TimerKind::Deadline(id) if self.pending.get(id).is_none_or(|l| !l.open) => {
+                TimerKind::Deadline(id) if self.pending.get(id).is_none_or(|p| !p.open) => {
                     self.timers.pop();
                 }
                 _ => return Some(*at),
@@ -348,7 +348,7 @@
         self.end = Some(end);
         let last = end.saturating_sub(ANSWER_MARGIN);
         // Requests whose answer has started still have an attempt in flight; a short answer has to end in time, too.
-        for (id, pending) in self.pending.iter_mut().filter(|(_, l)| l.deadline > end) {
+        for (id, pending) in self.pending.iter_mut().filter(|(_, p)| p.deadline > end) {
             pending.set_deadline(pending.deadline.min(end));
             if pending.open {
                 self.timers.push(Reverse((last, TimerKind::Deadline(*id))));
@@ -390,7 +390,7 @@
 
     /// A long request has been forwarded completely.
     pub fn uploaded(&mut self, now: Time, id: RequestId) {
-        if self.pending.get(&id).is_some_and(|l| l.uploading) {
+        if self.pending.get(&id).is_some_and(|p| p.uploading) {
             self.end_upload(now, id, false);
         }
     }
@@ -407,7 +407,7 @@
 
     /// A long answer has started and is forwarded as it arrives. Its end is reported with [`Core::ended`].
     pub fn started(&mut self, now: Time, request: RequestId, attempt: u32, reply: O::Reply) {
-        if self.pending.get(&request).is_some_and(|l| l.uploading) {
+        if self.pending.get(&request).is_some_and(|p| p.uploading) {
             self.end_upload(now, request, false); // the backend answered before the whole request was forwarded
         }
         if self.answer(now, request, Answer::Served(reply), Cause::Backend) {
@@ -529,16 +529,16 @@
         if whole {
             self.starts.prune(|id| self.endpoints.contains_key(id));
         }
-        let some = !entries.is_empty();
+        let has_backends = !entries.is_empty();
         self.handle(now, Event::List { scope, entries });
-        self.effects.listed(scope, some);
+        self.effects.listed(scope, has_backends);
     }
 
     /// Answers a request that has no answer near its deadline: failed if it may have run, else refused.
     fn on_deadline(&mut self, now: Time, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else { return };
-        let ends = self.end.is_some_and(|end| end <= now + ANSWER_MARGIN);
-        if !ends && pending.deadline > now + ANSWER_MARGIN {
+        let is_ending = self.end.is_some_and(|end| end <= now + ANSWER_MARGIN);
+        if !is_ending && pending.deadline > now + ANSWER_MARGIN {
             return; // the deadline has moved, and another timer is set
         }
         let answer = if pending.attempts.count() == 0 { Answer::Refused(None) } else { Answer::Failed };
@@ -549,7 +549,7 @@
 
     /// Marks an unanswered request as answered and answers it; no further attempts start for it.
     fn close(&mut self, id: RequestId, answer: impl FnOnce(&mut O, &mut O::Held)) -> bool {
-        let Some(pending) = self.pending.get_mut(&id).filter(|l| l.open) else { return false };
+        let Some(pending) = self.pending.get_mut(&id).filter(|p| p.open) else { return false };
         pending.open = false;
         pending.wanted.set(false);
         answer(&mut self.effects, &mut pending.held);
@@ -560,7 +560,7 @@
     /// Answers a request unless it is already answered. A request that may have run and can't be repeated safely is never
     /// refused; it fails instead.
     fn answer(&mut self, now: Time, id: RequestId, answer: Answer<O::Reply>, cause: Cause) -> bool {
-        let Some(pending) = self.pending.get(&id).filter(|l| l.open) else { return false };
+        let Some(pending) = self.pending.get(&id).filter(|p| p.open) else { return false };
         let refusal = match &answer {
             Answer::Refused(after) => pending.attempts.may_refuse(pending.effect, now, *after),
             Answer::Served(_) | Answer::Failed => Ok(()),
@@ -580,7 +580,7 @@
 
     /// Answers a request that may not be sent any more: refused if nothing was sent before, else failed.
     fn reject_unsendable(&mut self, now: Time, id: RequestId) {
-        let first = self.pending.get(&id).is_some_and(|l| l.attempts.count() <= 1);
+        let first = self.pending.get(&id).is_some_and(|p| p.attempts.count() <= 1);
         let answer = if first { Answer::Refused(None) } else { Answer::Failed };
         if self.answer(now, id, answer, Cause::Denied) {
             self.handle(now, Event::Abandoned(id));
@@ -589,7 +589,7 @@
 
     /// Removes a request that is answered and has no attempts in flight.
     fn remove_if_done(&mut self, id: RequestId) {
-        if self.pending.get(&id).is_some_and(|l| !l.open && l.in_flight == 0) {
+        if self.pending.get(&id).is_some_and(|p| !p.open && p.in_flight == 0) {
             self.pending.remove(&id);
         }
     }
--- a/crates/sandgap-fleet/src/link.rs
+++ b/crates/sandgap-fleet/src/link.rs
@@ -71,7 +71,7 @@
     total_queued_bytes: Rc<Cell<usize>>,
     queue_changed: Notify,
     /// Established links.
-    links: Cell<usize>,
+    link_count: Cell<usize>,
     dialling: Cell<bool>,
     /// Backoff before the next dial, and when it ends.
     backoff: Cell<Duration>,
@@ -133,8 +133,9 @@
     peers: RefCell<FxHashMap<String, Rc<Peer>>>,
     /// Bytes queued for all peers together.
     queued_bytes: Rc<Cell<usize>>,
+    /// Inbound connections whose handshake is not complete.
     unproved: Cell<usize>,
-    links: Cell<usize>,
+    link_count: Cell<usize>,
     counts: Cell<Counts>,
 }
 
@@ -149,7 +150,7 @@
             peers: RefCell::default(),
             queued_bytes: Rc::default(),
             unproved: Cell::default(),
-            links: Cell::default(),
+            link_count: Cell::default(),
             counts: Cell::default(),
         })
     }
@@ -161,14 +162,16 @@
 
     /// Number of established links.
     pub fn up(&self) -> usize {
-        self.links.get()
+        self.link_count.get()
     }
 
     /// Accepts links from other proxies; never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.unproved.get() < MAX_UNPROVED && self.links.get() < MAX_LINKS => {
+                Ok((stream, _))
+                    if self.unproved.get() < MAX_UNPROVED && self.link_count.get() < MAX_LINKS =>
+                {
                     let links = self.clone();
                     spawn_local(async move {
                         let _ = links.accepted(stream).await; // failed handshakes are only counted
@@ -193,7 +196,7 @@
         if address.is_some() {
             peer.address.set(address);
         }
-        if peer.links.get() == 0 && !self.dial(to, &peer) {
+        if peer.link_count.get() == 0 && !self.dial(to, &peer) {
             return;
         }
         peer.enqueue(channel, body);
@@ -204,7 +207,7 @@
         let mut peers = self.peers.borrow_mut();
         if peers.len() >= MAX_LINKS && !peers.contains_key(name) {
             peers.retain(|_, p| {
-                let stays = p.links.get() > 0 || p.dialling.get();
+                let stays = p.link_count.get() > 0 || p.dialling.get();
                 if !stays {
                     p.clear();
                 }
@@ -240,7 +243,7 @@
                 let _ = getrandom::fill(&mut jitter); // without random numbers there is no jitter
                 let wait = wait / 2 + wait / 2 * u32::from(jitter[0]) / 255;
                 peer.backoff_until.set(Some(Instant::now() + wait));
-                if peer.links.get() == 0 {
+                if peer.link_count.get() == 0 {
                     peer.clear(); // queued frames would be outdated when the peer is reachable again
                 }
             }
@@ -311,8 +314,8 @@
 
     /// Carries frames in both directions until the link ends.
     async fn run(&self, name: &str, peer: &Rc<Peer>, stream: Link, sealer: Sealer, opener: Opener) {
-        let _link = CountGuard::new(&self.links);
-        let _peer_link = CountGuard::new(&peer.links);
+        let _link = CountGuard::new(&self.link_count);
+        let _peer_link = CountGuard::new(&peer.link_count);
         let last_received = Cell::new(Instant::now());
         tokio::select! {
             _ = self.read_frames(name, stream.clone(), opener, &last_received) => {}
