--- a/crates/sandgap-agree/tests/model.rs
+++ b/crates/sandgap-agree/tests/model.rs
@@ -1,38 +1,42 @@
-//! A model of switch and lease, searched whole: three voters, two proxies that ask, leaders that are overtaken without
-//! knowing it, messages that come late or never, crashes, and processes that stand still (any step may wait for any
-//! number of ticks).
+//! A model of version switches and leases, checked exhaustively: three voters, one or two proxies that ask for leases,
+//! deposed leaders that do not know it, delayed and lost messages, crashes, and standstills of processes (any step may
+//! be delayed by any number of ticks).
 //!
-//! The log has levels instead of entries. Overlapping, it goes from the old version (0) to the new one (1). Kept apart,
-//! it goes from the old one (0) over closed (1) to the new one (2), and the last step waits until old leases have ended.
-//! Nobody can act on the new version before a leader knows that it is committed: that moment stands for the first
-//! proxy's that does, so that no schedule of news has to be searched.
+//! The log is modelled as a level instead of entries. With overlapping versions, it goes from the old version (0) to
+//! the new one (1). With versions kept apart, it goes from the old one (0) via closed (1) to the new one (2), and the
+//! last step waits until old leases have ended. No proxy can act on the new version before a leader knows that it is
+//! committed. The model takes that moment as the first time at which a proxy acts on it, so that schedules of news need
+//! not be explored.
 //!
-//! A proxy's clock is the model's: drift is the business of `sandgap_fleet::Drift`'s tests.
+//! Proxies use the model's clock: the tests of `sandgap_fleet::Drift` cover clock drift.
 
 use stateright::{Checker, Model, Property};
 
 const VOTERS: usize = 3;
-/// The stated time, in ticks.
+/// The bound T, in ticks.
 const T: u8 = 2;
-const END: u8 = 4;
-const TERMS: u8 = 2;
+/// The last tick of the model.
+const LAST_TICK: u8 = 4;
+/// The highest raft term of the model.
+const MAX_TERM: u8 = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Defect {
     None,
-    /// The lease counts from the answer instead of from the question.
-    FromAnswer,
-    /// A leader answers without asking a majority whether it leads.
+    /// The lease counts from the grant instead of from the request.
+    LeaseFromGrant,
+    /// A leader grants a lease without a confirmation round.
     NoRound,
-    /// Kept apart, the new version does not wait for old leases.
+    /// With versions kept apart, the switch does not wait for old leases.
     NoWait,
-    /// A new leader answers before it has committed anything in its term.
-    Unready,
+    /// A new leader grants leases before it has committed an entry in its term.
+    GrantBeforeCommit,
 }
 
 #[derive(Clone, Debug)]
 struct Switch {
-    /// How many ask. One is enough to meet each defect, as what the others could do is counted from the commit.
+    /// Number of proxies. One is enough to find each defect, as a second proxy is assumed to act on the new version
+    /// from its commit on.
     proxies: usize,
     apart: bool,
     defect: Defect,
@@ -47,14 +51,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Leader {
     term: u8,
-    at: usize,
+    voter: usize,
     level: u8,
     commit: u8,
-    /// Voters that have its log, as bits.
-    has: u8,
+    /// Bit set of the voters that have its log.
+    replicated: u8,
+    /// Whether it has committed an entry in its term.
     ready: bool,
     /// When it saw the close committed.
-    closed: Option<u8>,
+    closed_at: Option<u8>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -81,7 +86,7 @@
     leaders: Vec<Leader>,
     proxies: Vec<Proxy>,
     /// When a leader first knew that the new version is committed.
-    first: Option<u8>,
+    new_committed_at: Option<u8>,
     crashed: bool,
 }
 
@@ -110,7 +115,7 @@
         if self.apart { 2 } else { 1 }
     }
 
-    /// The version that a level stands for: the old one, none, or the new one.
+    /// The version that a level represents: `false` for the old one, `true` for the new one, `None` for neither.
     fn version(&self, level: u8) -> Option<bool> {
         match (self.apart, level) {
             (_, 0) => Some(false),
@@ -119,24 +124,24 @@
         }
     }
 
-    /// Whether a proxy may act on a version now.
+    /// Whether a proxy may act on the old or the new version now.
     fn acts(&self, state: &State, proxy: &Proxy, new: bool) -> bool {
         state.now < proxy.end && self.version(proxy.level) == Some(new)
     }
 
     fn may_propose(&self, state: &State, leader: &Leader) -> bool {
-        let waits = self.apart && leader.level == 1 && self.defect != Defect::NoWait;
-        let waited = leader.closed.is_some_and(|at| state.now >= at + T);
+        let must_wait = self.apart && leader.level == 1 && self.defect != Defect::NoWait;
+        let has_waited = leader.closed_at.is_some_and(|at| state.now >= at + T);
         leader.ready
             && leader.level == leader.commit
             && leader.level < self.last_level()
-            && (!waits || waited)
+            && (!must_wait || has_waited)
     }
 
-    /// One form for states between which no rule and no property can tell.
-    fn settle(&self, state: &mut State) {
-        if state.first.is_none() && state.leaders.iter().any(|l| l.commit == self.last_level()) {
-            state.first = Some(state.now);
+    /// Maps states that no step and no property distinguishes to the same state, to reduce the search.
+    fn normalize(&self, state: &mut State) {
+        if state.new_committed_at.is_none() && state.leaders.iter().any(|l| l.commit == self.last_level()) {
+            state.new_committed_at = Some(state.now);
         }
         for proxy in &mut state.proxies {
             if proxy.end <= state.now {
@@ -146,9 +151,9 @@
         state.proxies.sort();
     }
 
-    /// A voter that has heard of a later term leads no more, and neither does one that has crashed.
-    fn depose(state: &mut State, ends: impl Fn(&Leader) -> bool) {
-        while let Some(l) = state.leaders.iter().position(&ends) {
+    /// Removes leaders that have learned of a later term or have crashed, and the rounds that they led.
+    fn depose(state: &mut State, is_deposed: impl Fn(&Leader) -> bool) {
+        while let Some(l) = state.leaders.iter().position(&is_deposed) {
             state.leaders.remove(l);
             for proxy in &mut state.proxies {
                 match &mut proxy.read {
@@ -167,13 +172,21 @@
 
     fn init_states(&self) -> Vec<State> {
         let voters = [Voter { term: 1, level: 0 }; VOTERS];
-        let leader = Leader { term: 1, at: 0, level: 0, commit: 0, has: 0b111, ready: true, closed: None };
+        let leader = Leader {
+            term: 1,
+            voter: 0,
+            level: 0,
+            commit: 0,
+            replicated: 0b111,
+            ready: true,
+            closed_at: None,
+        };
         let proxies = vec![Proxy::default(); self.proxies];
-        vec![State { now: 0, voters, leaders: vec![leader], proxies, first: None, crashed: false }]
+        vec![State { now: 0, voters, leaders: vec![leader], proxies, new_committed_at: None, crashed: false }]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.now < END {
+        if state.now < LAST_TICK {
             steps.push(Step::Tick);
         }
         for (l, leader) in state.leaders.iter().enumerate() {
@@ -181,7 +194,7 @@
                 steps.push(Step::Propose(l));
             }
             for v in 0..VOTERS {
-                if leader.has & (1 << v) == 0 && state.voters[v].term <= leader.term {
+                if leader.replicated & (1 << v) == 0 && state.voters[v].term <= leader.term {
                     steps.push(Step::Accept(l, v));
                 }
             }
@@ -200,7 +213,7 @@
         for a in 0..VOTERS {
             for b in (0..VOTERS).filter(|b| *b != a) {
                 let term = state.voters[a].term.max(state.voters[b].term) + 1;
-                if term <= TERMS && state.voters[a].level >= state.voters[b].level {
+                if term <= MAX_TERM && state.voters[a].level >= state.voters[b].level {
                     steps.push(Step::Elect(a, b));
                 }
             }
@@ -230,18 +243,18 @@
             Step::Propose(l) => {
                 let leader = &mut state.leaders[l];
                 leader.level += 1;
-                leader.has = 1 << leader.at;
-                state.voters[leader.at].level = leader.level;
+                leader.replicated = 1 << leader.voter;
+                state.voters[leader.voter].level = leader.level;
             }
             Step::Accept(l, v) => {
                 let leader = &mut state.leaders[l];
                 state.voters[v] = Voter { term: leader.term, level: leader.level };
-                leader.has |= 1 << v;
-                if majority(leader.has) {
+                leader.replicated |= 1 << v;
+                if majority(leader.replicated) {
                     leader.ready = true;
                     leader.commit = leader.level;
                     if leader.commit == 1 {
-                        leader.closed.get_or_insert(state.now);
+                        leader.closed_at.get_or_insert(state.now);
                     }
                 }
             }
@@ -250,13 +263,21 @@
                 let level = state.voters[a].level;
                 state.voters[a].term = term;
                 state.voters[b].term = term;
-                let (commit, has, ready) = (0, 1 << a, self.defect == Defect::Unready);
-                state.leaders.push(Leader { term, at: a, level, commit, has, ready, closed: None });
+                let (commit, replicated, ready) = (0, 1 << a, self.defect == Defect::GrantBeforeCommit);
+                state.leaders.push(Leader {
+                    term,
+                    voter: a,
+                    level,
+                    commit,
+                    replicated,
+                    ready,
+                    closed_at: None,
+                });
             }
             Step::Crash(l) => {
-                // What a voter promised is on its disk; that it led is not.
-                let gone = state.leaders[l];
-                Self::depose(&mut state, |leader| *leader == gone);
+                // Term and level survive on the voter's disk; its leadership does not.
+                let crashed = state.leaders[l];
+                Self::depose(&mut state, |leader| *leader == crashed);
                 state.crashed = true;
             }
             Step::Ask(p) => state.proxies[p].asked = Some(state.now),
@@ -265,11 +286,11 @@
                 state.proxies[p] = Proxy { level, end, ..Proxy::default() };
             }
             Step::Begin(p, l) => {
-                let Leader { term, at, commit, ready, .. } = state.leaders[l];
+                let Leader { term, voter, commit, ready, .. } = state.leaders[l];
                 if !ready {
                     return None;
                 }
-                state.proxies[p].read = Some(Read { leader: l, term, commit, acks: 1 << at });
+                state.proxies[p].read = Some(Read { leader: l, term, commit, acks: 1 << voter });
             }
             Step::Ack(p, v) => {
                 let read = state.proxies[p].read.as_mut()?;
@@ -283,25 +304,25 @@
             Step::Hear(p) => {
                 let proxy = &mut state.proxies[p];
                 let (level, asked) = (proxy.answer.take()?, proxy.asked.take()?);
-                let from = if self.defect == Defect::FromAnswer { state.now } else { asked };
-                // As in `Follower`: knowledge only grows, and is as fresh as the question.
+                let from = if self.defect == Defect::LeaseFromGrant { state.now } else { asked };
+                // As in `Follower`: knowledge only grows, and is as fresh as the request.
                 proxy.level = proxy.level.max(level);
                 proxy.end = proxy.end.max(from + T);
             }
             Step::News(p, l) => state.proxies[p].level = state.leaders[l].commit,
         }
         let voters = state.voters;
-        Self::depose(&mut state, |leader| voters[leader.at].term > leader.term);
-        self.settle(&mut state);
+        Self::depose(&mut state, |leader| voters[leader.voter].term > leader.term);
+        self.normalize(&mut state);
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no contradiction beyond the stated time", |model: &Switch, state: &State| {
+            Property::always(NO_LONG_CONTRADICTION, |model: &Switch, state: &State| {
                 let old = state.proxies.iter().any(|p| model.acts(state, p, false));
-                let Some(first) = state.first.filter(|_| old) else { return true };
-                if model.apart { false } else { state.now < first + T }
+                let Some(committed_at) = state.new_committed_at.filter(|_| old) else { return true };
+                if model.apart { false } else { state.now < committed_at + T }
             }),
             Property::sometimes("the new version is acted on", |model: &Switch, state: &State| {
                 state.proxies.iter().any(|p| model.acts(state, p, true))
@@ -310,18 +331,19 @@
                 "both may be acted on together, overlapping",
                 |model: &Switch, state: &State| {
                     model.apart
-                        || state.first.is_some() && state.proxies.iter().any(|p| model.acts(state, p, false))
+                        || state.new_committed_at.is_some()
+                            && state.proxies.iter().any(|p| model.acts(state, p, false))
                 },
             ),
         ]
     }
 }
 
-const RULE: &str = "no contradiction beyond the stated time";
+const NO_LONG_CONTRADICTION: &str = "no contradiction for longer than T";
 
 fn check(proxies: usize, apart: bool, defect: Defect) -> (usize, bool) {
     let checker = Switch { proxies, apart, defect }.checker().spawn_bfs().join();
-    let discovery = checker.discovery(RULE);
+    let discovery = checker.discovery(NO_LONG_CONTRADICTION);
     let broken = discovery.is_some();
     if defect == Defect::None
         && let Some(path) = &discovery
@@ -336,19 +358,19 @@
 }
 
 #[test]
-fn no_state_goes_beyond_the_stated_time() {
+fn contradictions_never_last_longer_than_t() {
     for apart in [false, true] {
         let (states, broken) = check(1, apart, Defect::None);
         println!("apart {apart}: {states} states");
         assert!(!broken);
-        assert!(states > 10_000, "{states}: the model has been cut down to nothing");
+        assert!(states > 10_000, "{states} states: the model does not explore enough");
     }
 }
 
-/// Minutes, and gigabytes.
+/// Takes minutes and gigabytes of memory.
 #[test]
-#[ignore = "for a look by hand"]
-fn nor_with_two_that_ask() {
+#[ignore = "takes minutes and gigabytes of memory; run by hand"]
+fn contradictions_never_last_longer_than_t_with_two_proxies() {
     for apart in [false, true] {
         let (states, broken) = check(2, apart, Defect::None);
         println!("apart {apart}: {states} states");
@@ -359,11 +381,11 @@
 #[test]
 fn each_defect_is_found() {
     for (apart, defect) in [
-        (false, Defect::FromAnswer),
+        (false, Defect::LeaseFromGrant),
         (false, Defect::NoRound),
-        (false, Defect::Unready),
+        (false, Defect::GrantBeforeCommit),
         (true, Defect::NoWait),
-        (true, Defect::FromAnswer),
+        (true, Defect::LeaseFromGrant),
     ] {
         assert!(check(1, apart, defect).1, "{defect:?}");
     }
