--- a/crates/sandgap-agree/src/agent.rs
+++ b/crates/sandgap-agree/src/agent.rs
@@ -1,4 +1,5 @@
-//! One proxy's whole part in agreed rules: its [`Follower`], its [`Voter`] if it is one, and whom it says what.
+//! All of a proxy's state about agreed rules: its [`Follower`], its [`Voter`] if it is one, and the routing of
+//! messages.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -7,7 +8,7 @@
 use sandgap_fleet::Time;
 
 use crate::follower::{Follower, Step, Taking};
-use crate::limits::RELAYED;
+use crate::limits::MAX_RELAYED_ASKS;
 use crate::lives::{Enrolled, Epoch, Life, drawn};
 use crate::log::{Damaged, Saved, Write};
 use crate::machine::Proposal;
@@ -18,67 +19,68 @@
 use crate::voter::{Action, Voter};
 use crate::words::{Ask, Grant, Seating, Standing, Word};
 
-/// Questions for a lease in the span of one.
-const ASKS: u32 = 4;
-/// The same, of a process with a place among the lives: each span between two is one that an heir begins later.
-const LIVELY: u32 = 8;
-/// After so many questions in a row without an answer, others are asked to pass them on as well.
-const ALONE: u32 = 2;
+/// Lease requests per T.
+const ASKS_PER_LEASE: u32 = 4;
+/// Lease requests per T of a process that enrols as a life. Longer intervals would delay the fencing of a failed
+/// process and so the start of its heir.
+const ASKS_PER_LEASE_ENROLLED: u32 = 8;
+/// After more than this number of consecutive requests without a grant, other proxies are asked to relay them.
+const UNANSWERED_BEFORE_RELAY: u32 = 2;
 
-/// What is to be done.
+/// What the caller of an agent has to do.
 #[derive(Debug, PartialEq)]
 pub enum Output {
-    /// Send this to a proxy; its address, where it is known here.
+    /// Send a message to a proxy, with its address if it is known here.
     Say(String, Option<SocketAddr>, Word),
-    /// Keep this on the voter's disk, and tell [`Agent::written`] its number.
+    /// Write this to the voter's disk, and call [`Agent::written`] with its number.
     Write(Write),
-    /// Say with [`Agent::checked`] whether this proxy can use the version.
+    /// Check whether this proxy can use the version, and call [`Agent::checked`].
     Check(Version, Rc<Rulebook>),
     /// Act on this version.
     Act(Version, Rc<Rulebook>),
-    /// This process's place among the lives, or who is enrolled, has changed.
+    /// The enrolment of this process, or the membership list, has changed.
     Turn(Turn),
-    /// What riders of the log say to the proxy, with a lease.
+    /// The messages of the log's riders to this proxy, which came with a grant.
     Told(Told),
-    /// For the log.
+    /// Log a message.
     Note(String),
 }
 
-/// See the module.
+/// A proxy's participant in agreed rules, see the module.
 pub struct Agent {
     name: String,
     terms: Terms,
     follower: Follower,
     voter: Option<Voter>,
-    /// Whom to ask, and where they are.
+    /// The voters, with their addresses.
     voters: Vec<(String, SocketAddr)>,
-    /// Others that might pass a question on.
+    /// Other connected proxies, which may relay a lease request.
     others: Vec<String>,
-    /// Which voter is asked at present.
-    target: usize,
-    /// Questions in a row that nobody answered.
+    /// The index of the voter that is asked at present.
+    voter_index: usize,
+    /// Consecutive lease requests without a grant.
     unanswered: u32,
-    asked: Time,
+    last_asked: Time,
     next_ask: Time,
-    /// Chance for whom to ask to pass a question on.
+    /// State of the pseudorandom choice of a relaying proxy.
     draw: u64,
-    /// Words to itself.
-    own: VecDeque<Word>,
-    /// Questions passed on since the last own one.
+    /// Messages to this proxy itself.
+    own_messages: VecDeque<Word>,
+    /// Lease requests relayed since the last own one.
     relayed: usize,
     out: VecDeque<Output>,
-    /// What riders said last.
-    told: Told,
-    /// A seat that this voter wants in place of its lost one.
+    /// The last messages of riders.
+    last_told: Told,
+    /// The address for which this voter requests a new seat, and when it next does so.
     rebuild: Option<(SocketAddr, Time)>,
 }
 
 impl Agent {
-    /// An agent that knows whom to ask, and nothing else. `chance` is drawn anew at each start.
+    /// An agent that knows only the voters. `chance` is random, new at each start.
     pub fn new(now: Time, name: &str, terms: Terms, voters: Vec<(String, SocketAddr)>, chance: u64) -> Self {
         let at = voters.iter().position(|(v, _)| v == name);
-        // Proxies spread over the voters; a voter asks itself first.
-        let target = at.unwrap_or_else(|| (chance >> 32) as usize % voters.len().max(1));
+        // Proxies are spread over the voters; a voter asks itself first.
+        let voter_index = at.unwrap_or_else(|| (chance >> 32) as usize % voters.len().max(1));
         Agent {
             name: name.to_owned(),
             terms,
@@ -86,24 +88,24 @@
             voter: None,
             voters,
             others: Vec::new(),
-            target,
+            voter_index,
             unanswered: 0,
-            asked: now,
+            last_asked: now,
             next_ask: now,
             draw: chance,
-            own: VecDeque::new(),
+            own_messages: VecDeque::new(),
             relayed: 0,
             out: VecDeque::new(),
-            told: Told::new(),
+            last_told: Told::new(),
             rebuild: None,
         }
     }
 
-    /// Makes this proxy a voter that goes on from what its disk had. From a blank store, see [`Saved::blank`], it takes
-    /// no part until the others have given it the seat in place of its lost one; `address` is where it is reached.
+    /// Makes this proxy a voter that resumes from its store. With a blank store, see [`Saved::blank`], it takes no part
+    /// until the other voters have replaced its lost seat by the new one. `address` is its own address.
     ///
     /// # Errors
-    /// Where what the disk had is damaged.
+    /// If the store is damaged.
     pub fn vote(
         &mut self, now: Time, saved: &Saved, riders: Riders, address: SocketAddr,
     ) -> Result<(), Damaged> {
@@ -112,63 +114,64 @@
         Ok(())
     }
 
-    /// What a proxy does with versions.
+    /// The follower in this proxy.
     pub fn follower(&self) -> &Follower {
         &self.follower
     }
 
-    /// From now on this process wants a place among the lives.
+    /// Makes this process enrol as a life from now on.
     pub fn enlist(&mut self, zone: Option<String>) {
-        // Apart from the numbers of questions, and never 0, which stands for none.
+        // Distinct from the numbers of lease requests, and never 0, which means none.
         let draw = self.draw.rotate_left(29).max(1);
         self.follower.enlist(Holder::new(Enrolled { draw, name: self.name.clone(), zone }));
     }
 
-    /// Its place among the lives.
+    /// The enrolment of this process, if it wants one.
     pub fn holder(&self) -> Option<&Holder> {
         self.follower.holder()
     }
 
-    /// What another left has been settled by this process.
+    /// Records that this process has settled the requests of an ended life.
     pub fn settled(&mut self, now: Time, epoch: Epoch) {
         if let Some(holder) = self.follower.holder_mut() {
             holder.settle(epoch);
-            self.wish(now);
+            self.send_entries(now);
         }
     }
 
-    /// Takes leave of the lives: nothing is done under this one any more.
+    /// Ends the life of this process for a shutdown: from here on nothing is done under it.
     pub fn leave(&mut self, now: Time) {
         if let Some(holder) = self.follower.holder_mut() {
             holder.leave();
-            self.wish(now);
+            self.send_entries(now);
         }
     }
 
-    /// Says what is to be put into the log, and asks at once whether it is there.
-    fn wish(&mut self, now: Time) {
+    /// Sends the entries to propose and a lease request at once.
+    fn send_entries(&mut self, now: Time) {
         self.next_ask = now;
         self.fire(now);
     }
 
-    /// Nothing listens under a proxy's name any more.
+    /// Reports that a proxy refuses connections.
     pub fn missed(&mut self, now: Time, name: &str) {
-        self.tell_voter(Word::Missed(name.to_owned()));
-        self.own_words(now);
+        self.send_to_voter(Word::Missed(name.to_owned()));
+        self.deliver_own(now);
     }
 
-    fn tell_voter(&mut self, word: Word) {
-        if let Some((voter, address)) = self.voters.get(self.target % self.voters.len().max(1)).cloned() {
-            self.say(voter, Some(address), word);
+    fn send_to_voter(&mut self, word: Word) {
+        if let Some((voter, address)) = self.voters.get(self.voter_index % self.voters.len().max(1)).cloned()
+        {
+            self.send(voter, Some(address), word);
         }
     }
 
-    /// What a rider of the log is told with each question from now on.
+    /// Sets the message to a rider of the log that is sent with each lease request; empty for none.
     pub fn tell(&mut self, tag: Tag, bytes: Vec<u8>) {
         self.follower.tell(tag, bytes);
     }
 
-    /// Counts a request that was refused for the want of a lease.
+    /// Counts a request that was refused for lack of a lease.
     pub fn count_refused(&mut self) {
         self.follower.count_refused();
     }
@@ -183,42 +186,42 @@
         self.voter.as_ref()
     }
 
-    /// Others that are there at present, who might pass a question on.
+    /// Sets the other connected proxies, which may relay a lease request.
     pub fn present(&mut self, others: Vec<String>) {
         self.others = others;
     }
 
-    /// What is to be done next.
+    /// The next output, if any.
     pub fn poll(&mut self) -> Option<Output> {
         self.out.pop_front()
     }
 
-    /// When it is to be called next.
+    /// When [`Agent::fire`] is to be called next.
     pub fn next_due(&self) -> Time {
         let voter = self.voter.as_ref().map(Voter::next_due);
         voter.map_or(self.next_ask, |at| at.min(self.next_ask))
     }
 
-    /// Does what is due by now.
+    /// Does all timed work that is due.
     pub fn fire(&mut self, now: Time) {
         if let Some(voter) = &mut self.voter {
             let mut actions = Vec::new();
             voter.fire(now, &mut actions);
             self.carry_out(actions);
         }
-        self.sit_down(now);
+        self.request_seat(now);
         if now >= self.next_ask {
             self.ask(now);
         }
-        self.own_words(now);
+        self.deliver_own(now);
     }
 
-    /// Asks for the seat that takes the place of a lost one.
-    fn sit_down(&mut self, now: Time) {
+    /// Requests the seat that replaces the lost one.
+    fn request_seat(&mut self, now: Time) {
         let (Some((address, at)), Some(voter)) = (self.rebuild, &self.voter) else { return };
         if voter.is_seated() {
             self.rebuild = None;
-            return self.note("the voters have given this one a new seat".into());
+            return self.log("the voters have given this one a new seat".into());
         }
         if now < at {
             return;
@@ -233,41 +236,41 @@
     }
 
     fn ask(&mut self, now: Time) {
-        let lively = self.follower.holder().is_some();
-        let each = self.terms.span.bound / if lively { LIVELY } else { ASKS };
-        self.next_ask = now + each;
+        let enrols = self.follower.holder().is_some();
+        let interval = self.terms.span.bound / if enrols { ASKS_PER_LEASE_ENROLLED } else { ASKS_PER_LEASE };
+        self.next_ask = now + interval;
         self.relayed = 0;
         if self.voters.is_empty() {
             return;
         }
-        // Questions out of turn have had no time to be answered.
-        if self.unanswered > 0 && now >= self.asked + each * 9 / 10 {
-            self.target = (self.target + 1) % self.voters.len();
+        // A request that follows early does not count as unanswered: there was no time for a grant.
+        if self.unanswered > 0 && now >= self.last_asked + interval * 9 / 10 {
+            self.voter_index = (self.voter_index + 1) % self.voters.len();
         }
-        if self.unanswered == 0 || now >= self.asked + each * 9 / 10 {
+        if self.unanswered == 0 || now >= self.last_asked + interval * 9 / 10 {
             self.unanswered += 1;
-            self.asked = now;
+            self.last_asked = now;
         }
         let (number, report) = self.follower.ask(now);
-        let (voter, address) = self.voters[self.target % self.voters.len()].clone();
+        let (voter, address) = self.voters[self.voter_index % self.voters.len()].clone();
         let ask = Ask { number, origin: None, report };
-        // What is to be put into the log goes ahead of the question, which then may find it there.
-        for wish in self.follower.holder().map(Holder::wishes).unwrap_or_default() {
-            self.say(voter.clone(), Some(address), Word::Life(wish));
+        // Entries to propose go ahead of the lease request, so that its grant may already reflect them.
+        for entry in self.follower.holder().map(Holder::entries_to_propose).unwrap_or_default() {
+            self.send(voter.clone(), Some(address), Word::Life(entry));
         }
-        self.say(voter, Some(address), Word::Ask(ask.clone()));
-        if self.unanswered > ALONE && !self.others.is_empty() {
-            // The one that first brings an answer counts; the numbers are the same.
+        self.send(voter, Some(address), Word::Ask(ask.clone()));
+        if self.unanswered > UNANSWERED_BEFORE_RELAY && !self.others.is_empty() {
+            // Both requests have the same number: the first grant counts.
             self.draw = drawn(self.draw);
             let at = (self.draw >> 33) as usize % self.others.len();
             let other = self.others[at].clone();
-            self.say(other, None, Word::Ask(ask));
+            self.send(other, None, Word::Ask(ask));
         }
     }
 
-    fn say(&mut self, to: String, address: Option<SocketAddr>, word: Word) {
+    fn send(&mut self, to: String, address: Option<SocketAddr>, word: Word) {
         if to == self.name {
-            self.own.push_back(word);
+            self.own_messages.push_back(word);
         } else {
             let known = || self.voters.iter().find(|(name, _)| *name == to).map(|(_, a)| *a);
             let address = address.or_else(known);
@@ -275,68 +278,68 @@
         }
     }
 
-    fn note(&mut self, text: String) {
+    fn log(&mut self, text: String) {
         self.out.push_back(Output::Note(text));
     }
 
-    /// Words that this proxy's parts say to each other.
-    fn own_words(&mut self, now: Time) {
+    /// Delivers messages between the parts of this proxy.
+    fn deliver_own(&mut self, now: Time) {
         let name = self.name.clone();
-        while let Some(word) = self.own.pop_front() {
-            self.take_in(now, &name, word);
+        while let Some(word) = self.own_messages.pop_front() {
+            self.dispatch(now, &name, word);
         }
     }
 
-    /// A word from another proxy.
+    /// Processes a message from another proxy.
     pub fn hear(&mut self, now: Time, from: &str, word: Word) {
-        self.take_in(now, from, word);
-        self.own_words(now);
+        self.dispatch(now, from, word);
+        self.deliver_own(now);
     }
 
-    fn take_in(&mut self, now: Time, from: &str, word: Word) {
+    fn dispatch(&mut self, now: Time, from: &str, word: Word) {
         match word {
-            Word::Raft(seat, bytes) => self.with_voter(|v, out| v.hear(now, from, seat, &bytes, out)),
-            Word::Ask(ask) => self.asked(now, from, ask),
-            Word::Grant(grant) => self.granted(now, from, grant),
-            Word::News(standing) => self.news(now, from, &standing),
-            Word::Fetch(version) => self.fetch(from, version),
+            Word::Raft(seat, bytes) => self.with_voter(|v, out| v.receive(now, from, seat, &bytes, out)),
+            Word::Ask(ask) => self.handle_ask(now, from, ask),
+            Word::Grant(grant) => self.handle_grant(now, from, grant),
+            Word::News(standing) => self.handle_news(now, from, &standing),
+            Word::Fetch(version) => self.handle_fetch(from, version),
             Word::Book(version, bytes) => {
-                let steps = self.follower.book(version, &bytes);
-                self.follow(now, from, steps);
+                let steps = self.follower.receive_book(version, &bytes);
+                self.carry_out_steps(now, from, steps);
             }
             Word::Reports(all) => self.with_voter(|v, out| v.reports(now, all, out)),
-            Word::Publish(proposal) => self.published(now, from, proposal),
+            Word::Publish(proposal) => self.handle_publish(now, from, proposal),
             Word::Query(number) => {
                 if let Some(voter) = &self.voter {
                     let status = voter.status(now);
-                    self.say(from.to_owned(), None, Word::Status(number, status));
+                    self.send(from.to_owned(), None, Word::Status(number, status));
                 }
             }
             Word::Seat(number, seating) => {
-                let mut why = "not a voter".to_owned();
+                let mut why = "this proxy is not a voter".to_owned();
                 self.with_voter(|v, out| why = v.seat_change(now, &seating, out));
-                self.say(from.to_owned(), None, Word::Seated(number, why));
+                self.send(from.to_owned(), None, Word::Seated(number, why));
             }
-            Word::Life(entry) => self.with_voter(|v, out| v.life(now, entry, out)),
-            Word::Missed(name) => self.with_voter(|v, out| v.missed(now, name, out)),
-            Word::FetchRoll(since) => self.fetch_roll(from, since),
-            Word::Roll(roll, all, departed) => self.roll(roll, all, departed),
+            Word::Life(entry) => self.with_voter(|v, out| v.propose_life_entry(now, entry, out)),
+            Word::Missed(name) => self.with_voter(|v, out| v.report_unreachable(now, name, out)),
+            Word::FetchRoll(since) => self.handle_fetch_roll(from, since),
+            Word::Roll(roll, all, departed) => self.handle_roll(roll, all, departed),
             Word::Heir => {
                 self.next_ask = now;
                 self.fire(now);
             }
             Word::Put(number, tag, entry) => {
                 let is_voter = self.voter.is_some();
-                self.with_voter(|v, out| v.put(now, from, number, tag, entry, out));
+                self.with_voter(|v, out| v.propose_rider_entry(now, from, number, tag, entry, out));
                 if !is_voter {
-                    let why = format!("'{}' is no voter", self.name);
-                    self.say(from.to_owned(), None, Word::Unput(number, why));
+                    let why = format!("'{}' is not a voter", self.name);
+                    self.send(from.to_owned(), None, Word::Unput(number, why));
                 }
             }
             Word::Look(number, tag, question) => {
-                self.with_voter(|v, out| v.look(now, from, number, tag, &question, out));
+                self.with_voter(|v, out| v.query_rider(now, from, number, tag, &question, out));
             }
-            // Answers to those that call by hand; a proxy asks none of these.
+            // Answers to an operator's commands; a proxy itself does not send those.
             Word::Came(..) | Word::Unput(..) | Word::Seen(..) => {}
             Word::Published(..) | Word::Unpublished(..) | Word::Status(..) | Word::Seated(..) => {}
         }
@@ -352,158 +355,163 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Say(to, word) => self.say(to, None, word),
+                Action::Send(to, word) => self.send(to, None, word),
                 Action::Write(write) => self.out.push_back(Output::Write(write)),
-                Action::Note(text) => self.note(text),
+                Action::Note(text) => self.log(text),
                 Action::Standing => {
                     let Some(voter) = &self.voter else { continue };
                     let standing = voter.standing();
                     let clients: Vec<String> = voter.clients().cloned().collect();
                     for client in clients.into_iter().chain([self.name.clone()]) {
-                        self.say(client, None, Word::News(standing.clone()));
+                        self.send(client, None, Word::News(standing.clone()));
                     }
                 }
             }
         }
     }
 
-    fn asked(&mut self, now: Time, from: &str, ask: Ask) {
+    fn handle_ask(&mut self, now: Time, from: &str, ask: Ask) {
         let Ask { number, origin, report } = ask;
         if self.voter.is_some() {
             return self.with_voter(|v, out| v.ask(now, from, origin, number, report, out));
         }
-        // Not a voter: passed on to one that answers here, once, and within bounds.
-        if origin.is_none() && self.unanswered <= 1 && self.relayed < RELAYED && !self.voters.is_empty() {
+        // Not a voter: relay the request once, within bounds, to a voter that answers this proxy.
+        if origin.is_none()
+            && self.unanswered <= 1
+            && self.relayed < MAX_RELAYED_ASKS
+            && !self.voters.is_empty()
+        {
             self.relayed += 1;
-            let (voter, address) = self.voters[self.target % self.voters.len()].clone();
+            let (voter, address) = self.voters[self.voter_index % self.voters.len()].clone();
             let ask = Ask { number, origin: Some(from.to_owned()), report };
-            self.say(voter, Some(address), Word::Ask(ask));
+            self.send(voter, Some(address), Word::Ask(ask));
         }
     }
 
-    fn granted(&mut self, now: Time, from: &str, grant: Grant) {
+    fn handle_grant(&mut self, now: Time, from: &str, grant: Grant) {
         if let Some(origin) = grant.origin.clone().filter(|o| *o != self.name) {
-            return self.say(origin, None, Word::Grant(Grant { origin: None, ..grant }));
+            return self.send(origin, None, Word::Grant(Grant { origin: None, ..grant }));
         }
         self.unanswered = 0;
         if !grant.voters.is_empty() && grant.voters != self.voters {
-            let asked = self.voters.get(self.target).map(|(name, _)| name.clone());
+            let asked = self.voters.get(self.voter_index).map(|(name, _)| name.clone());
             self.voters.clone_from(&grant.voters);
             let at = |name: &String| self.voters.iter().position(|(v, _)| v == name);
-            self.target = asked.as_ref().and_then(at).unwrap_or(0);
+            self.voter_index = asked.as_ref().and_then(at).unwrap_or(0);
         }
         let mut turns = Vec::new();
         let steps = self.follower.granted(now, &grant, &mut turns);
-        self.turned(now, turns);
-        if grant.told != self.told {
-            self.told.clone_from(&grant.told);
+        self.push_turns(now, turns);
+        if grant.told != self.last_told {
+            self.last_told.clone_from(&grant.told);
             self.out.push_back(Output::Told(grant.told));
         }
-        if let Some(since) = self.follower.holder().and_then(Holder::wants_roll) {
-            self.say(from.to_owned(), None, Word::FetchRoll(since));
+        if let Some(since) = self.follower.holder().and_then(Holder::outdated_roll) {
+            self.send(from.to_owned(), None, Word::FetchRoll(since));
         }
-        self.follow(now, from, steps);
+        self.carry_out_steps(now, from, steps);
     }
 
-    fn turned(&mut self, now: Time, turns: Vec<Turn>) {
+    fn push_turns(&mut self, now: Time, turns: Vec<Turn>) {
         for turn in turns {
             if matches!(turn, Turn::Ended(_)) {
-                self.next_ask = now; // for another number
+                self.next_ask = now; // enrol again at once
             }
             self.out.push_back(Output::Turn(turn));
         }
     }
 
-    fn fetch_roll(&mut self, from: &str, since: u64) {
+    fn handle_fetch_roll(&mut self, from: &str, since: u64) {
         let Some(lives) = self.voter.as_ref().map(|v| v.machine().lives()).filter(|l| l.roll() > since)
         else {
             return;
         };
         let list = |of: &BTreeMap<Life, Enrolled>| of.iter().map(|(l, e)| (*l, e.clone())).collect();
         let word = Word::Roll(lives.roll(), list(lives.enrolled()), list(lives.departed()));
-        self.say(from.to_owned(), None, word);
+        self.send(from.to_owned(), None, word);
     }
 
-    fn roll(&mut self, roll: u64, all: Vec<(Life, Enrolled)>, departed: Vec<(Life, Enrolled)>) {
+    fn handle_roll(&mut self, roll: u64, all: Vec<(Life, Enrolled)>, departed: Vec<(Life, Enrolled)>) {
         let mut turns = Vec::new();
         if let Some(holder) = self.follower.holder_mut() {
-            holder.heard_roll(roll, all, departed, &mut turns);
+            holder.receive_roll(roll, all, departed, &mut turns);
         }
         self.out.extend(turns.into_iter().map(Output::Turn));
     }
 
-    fn news(&mut self, now: Time, from: &str, standing: &Standing) {
-        let steps = self.follower.heard(now, standing);
-        self.follow(now, from, steps);
+    fn handle_news(&mut self, now: Time, from: &str, standing: &Standing) {
+        let steps = self.follower.receive_news(now, standing);
+        self.carry_out_steps(now, from, steps);
     }
 
-    fn fetch(&mut self, from: &str, version: Version) {
+    fn handle_fetch(&mut self, from: &str, version: Version) {
         let kept = self.voter.as_ref().and_then(|v| v.machine().version(version)).map(|r| r.book().to_vec());
         if let Some(bytes) = kept.or_else(|| self.follower.bytes(version)) {
-            self.say(from.to_owned(), None, Word::Book(version, bytes));
+            self.send(from.to_owned(), None, Word::Book(version, bytes));
         }
     }
 
-    fn published(&mut self, now: Time, from: &str, proposal: Proposal) {
+    fn handle_publish(&mut self, now: Time, from: &str, proposal: Proposal) {
         if self.voter.is_some() {
             return self.with_voter(|v, out| v.publish(now, from, proposal, out));
         }
         let names: Vec<&str> = self.voters.iter().map(|(name, _)| name.as_str()).collect();
-        let why = format!("'{}' is no voter; voters are {}", self.name, names.join(", "));
-        self.say(from.to_owned(), None, Word::Unpublished(proposal.id, why));
+        let why = format!("'{}' is not a voter; the voters are {}", self.name, names.join(", "));
+        self.send(from.to_owned(), None, Word::Unpublished(proposal.id, why));
     }
 
-    fn follow(&mut self, now: Time, from: &str, steps: Vec<Step>) {
+    fn carry_out_steps(&mut self, now: Time, from: &str, steps: Vec<Step>) {
         for step in steps {
             match step {
-                Step::Fetch(version) => self.say(from.to_owned(), None, Word::Fetch(version)),
+                Step::Fetch(version) => self.send(from.to_owned(), None, Word::Fetch(version)),
                 Step::Check(version, book) => self.out.push_back(Output::Check(version, book)),
                 Step::Act(version, book) => {
                     self.out.push_back(Output::Act(version, book));
-                    self.next_ask = now; // voters may wait to hear it
+                    self.next_ask = now; // a switch may wait for the report
                 }
             }
         }
     }
 
-    /// Whether this proxy can use a version, and if not, why. It is told at once, as a switch may wait for it.
+    /// Records whether this proxy can use a version, and if not, why. This is reported at once, as a switch may wait
+    /// for it.
     pub fn checked(&mut self, now: Time, version: Version, usable: Result<(), String>) {
         let steps = self.follower.checked(now, version, usable);
         let name = self.name.clone();
-        self.follow(now, &name, steps);
+        self.carry_out_steps(now, &name, steps);
         self.next_ask = now;
         self.unanswered = 0;
         self.fire(now);
     }
 
-    /// A version that was to be acted on can't be after all.
+    /// Records that a version could not be activated after all, see [`Follower::cannot_act`].
     pub fn cannot_act(&mut self, version: Version, why: &str) {
         self.follower.cannot_act(version, why);
     }
 
-    /// The disk has kept all writes up to a number.
+    /// Acknowledges all writes up to a number.
     pub fn written(&mut self, now: Time, number: u64) {
         self.with_voter(|v, out| v.written(now, number, out));
-        self.own_words(now);
+        self.deliver_own(now);
     }
 
-    /// The disk has failed: the voter in this proxy takes no part any more. The proxy goes on as one that asks others, until
-    /// [`Agent::vote`] is called with what the disk has once it can be written again. That voter is another one, as after
-    /// a start: what this one was told is forgotten, as is whatever it has not kept.
+    /// Stops the voter in this proxy after its disk has failed. The proxy continues without a voter until
+    /// [`Agent::vote`] is called with the contents of the disk once it can be written again. That voter starts as after
+    /// a restart: everything that this one has not written is lost.
     pub fn disk_failed(&mut self, why: &str) {
         if let Some(voter) = &mut self.voter {
             voter.halt();
             self.voter = None;
             self.rebuild = None;
             self.draw = drawn(self.draw);
-            self.note(format!(
-                "the voter's disk has failed ({why}): this proxy votes no more until it is well"
+            self.log(format!(
+                "the voter's disk has failed ({why}): this proxy does not vote until the disk works again"
             ));
         }
     }
 
-    /// Hands on what it leads, for a planned end.
+    /// Transfers leadership, if this proxy's voter is the leader, before a planned shutdown.
     pub fn retire(&mut self, now: Time) {
-        self.with_voter(|v, out| v.retire(now, out));
+        self.with_voter(|v, out| v.hand_over_lead(now, out));
     }
 }
--- a/crates/sandgap-agree/src/contradict.rs
+++ b/crates/sandgap-agree/src/contradict.rs
@@ -1,23 +1,23 @@
-//! Whether two rulebooks contradict each other, rule by rule.
+//! Finds the rules on which two rulebooks contradict each other.
 //!
-//! Two rulebooks contradict where a proxy that follows one may do something, or turn something away, that a proxy that
-//! follows the other must not: then the two together break a promise that each keeps alone. What only says how well a
-//! thing is done (worth, aim, a backend's size or kind) contradicts nothing, and neither does a backend that one of
-//! them does not know yet.
+//! Two rulebooks contradict each other if a proxy that follows one may do or refuse something that a proxy that follows
+//! the other must not: the two proxies together then break a guarantee that each keeps alone. Fields that only affect
+//! the quality of service (worth, aim, a backend's size or kind) never contradict, and neither does a backend that only
+//! the newer rulebook has.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::rulebook::{Backend, Class, Rulebook, Tenant};
 
-/// One rule on which two rulebooks contradict each other.
+/// A rule on which two rulebooks contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contradiction {
-    /// The rule and what it is about.
+    /// The entry and the field, as text.
     pub rule: String,
-    /// In the older book.
+    /// The value in the older rulebook.
     pub old: String,
-    /// In the newer one.
+    /// The value in the newer rulebook.
     pub new: String,
 }
 
@@ -27,26 +27,26 @@
     }
 }
 
-/// A name, how its rule is told, and how to read it.
+/// The name of a field, and a function that formats its value.
 type Field<T> = (&'static str, fn(&T) -> String);
 
-const CLASS: [Field<Class>; 3] = [
+const CLASS_FIELDS: [Field<Class>; 3] = [
     ("effect", |c| format!("{:?}", c.effect)),
     ("deadline_ms", |c| c.deadline_ms.to_string()),
     ("on_lapse", |c| format!("{:?}", c.on_lapse)),
 ];
 
-const TENANT: [Field<Tenant>; 1] = [("allowance_per_s", |t| t.allowance_per_s.to_string())];
+const TENANT_FIELDS: [Field<Tenant>; 1] = [("allowance_per_s", |t| t.allowance_per_s.to_string())];
 
-/// Zone and cell decide which backends drop each other's repeats.
-const BACKEND: [Field<Backend>; 4] = [
+/// Zone and cell are included because they decide which backends deduplicate together.
+const BACKEND_FIELDS: [Field<Backend>; 4] = [
     ("address", |b| b.address.to_string()),
     ("zone", |b| format!("{:?}", b.zone)),
     ("cell", |b| format!("{:?}", b.cell)),
     ("state", |b| if b.draining { "draining".into() } else { "up".into() }),
 ];
 
-const LIMITS: [Field<Rulebook>; 7] = [
+const LIMITS_FIELDS: [Field<Rulebook>; 7] = [
     ("max_attempts", |r| r.limits.max_attempts.to_string()),
     ("over_share_worth", |r| r.limits.over_share_worth.to_string()),
     ("cross_zone", |r| r.limits.cross_zone.to_string()),
@@ -56,70 +56,70 @@
     ("fall_ms", |r| r.limits.fall_ms.to_string()),
 ];
 
-/// All on which two rulebooks contradict each other; nothing where proxies may follow either side by side.
+/// All contradictions between two rulebooks; empty if proxies may follow both at the same time.
 pub fn contradicts(old: &Rulebook, new: &Rulebook) -> Vec<Contradiction> {
     let mut all = Vec::new();
     let (a, b) = (by_name(&old.classes, |c| &c.name), by_name(&new.classes, |c| &c.name));
-    entries("class", &a, &b, &CLASS, OneSide::Contradicts, &mut all);
+    compare_entries("class", &a, &b, &CLASS_FIELDS, OnlyInNew::Contradicts, &mut all);
     let (a, b) = (by_name(&old.tenants, |t| &t.name), by_name(&new.tenants, |t| &t.name));
-    // Where no tenants are named, none is asked for: that is another rule for every request.
-    entries("tenant", &a, &b, &TENANT, OneSide::Contradicts, &mut all);
+    // If no tenants are listed, requests need no tenant: adding the first one changes the rule for every request.
+    compare_entries("tenant", &a, &b, &TENANT_FIELDS, OnlyInNew::Contradicts, &mut all);
     match (&old.backends, &new.backends) {
         (Some(a), Some(b)) => {
             let (a, b) = (by_name(a, |b| &b.name), by_name(b, |b| &b.name));
-            entries("backend", &a, &b, &BACKEND, OneSide::NewIsNone, &mut all);
+            compare_entries("backend", &a, &b, &BACKEND_FIELDS, OnlyInNew::Allowed, &mut all);
         }
         (None, None) => {}
         (a, _) => {
-            let told =
+            let source =
                 |listed: bool| if listed { "listed in the rules" } else { "from discovery" }.to_owned();
-            let (old, new) = (told(a.is_some()), told(a.is_none()));
+            let (old, new) = (source(a.is_some()), source(a.is_none()));
             all.push(Contradiction { rule: "backends".into(), old, new });
         }
     }
     for name in old.drained.symmetric_difference(&new.drained) {
-        let told =
+        let state =
             |book: &Rulebook| if book.drained.contains(name) { "drained" } else { "in use" }.to_owned();
         let rule = format!("drain by hand of '{name}'");
-        all.push(Contradiction { rule, old: told(old), new: told(new) });
+        all.push(Contradiction { rule, old: state(old), new: state(new) });
     }
-    fields("limits", old, new, &LIMITS, &mut all);
+    compare_fields("limits", old, new, &LIMITS_FIELDS, &mut all);
     all
 }
 
-/// What an entry that only one of two books has means.
+/// Whether an entry that only the newer rulebook has is a contradiction.
 #[derive(Clone, Copy, PartialEq)]
-enum OneSide {
+enum OnlyInNew {
     Contradicts,
-    /// One that only the newer has contradicts nothing: who does not know it leaves it alone.
-    NewIsNone,
+    /// It is none: a proxy that does not know the entry does not use it.
+    Allowed,
 }
 
 fn by_name<T>(all: &[T], name: fn(&T) -> &String) -> BTreeMap<&str, &T> {
-    all.iter().map(|one| (name(one).as_str(), one)).collect()
+    all.iter().map(|entry| (name(entry).as_str(), entry)).collect()
 }
 
-fn entries<T>(
-    what: &str, old: &BTreeMap<&str, &T>, new: &BTreeMap<&str, &T>, rules: &[Field<T>], one_side: OneSide,
-    all: &mut Vec<Contradiction>,
+fn compare_entries<T>(
+    what: &str, old: &BTreeMap<&str, &T>, new: &BTreeMap<&str, &T>, fields: &[Field<T>],
+    only_in_new: OnlyInNew, all: &mut Vec<Contradiction>,
 ) {
-    let there = |there: bool| if there { "there" } else { "not there" }.to_owned();
+    let presence = |present: bool| if present { "there" } else { "not there" }.to_owned();
     for (name, a) in old {
         let rule = format!("{what} '{name}'");
         match new.get(name) {
-            Some(b) => fields(&rule, *a, *b, rules, all),
-            None => all.push(Contradiction { rule, old: there(true), new: there(false) }),
+            Some(b) => compare_fields(&rule, *a, *b, fields, all),
+            None => all.push(Contradiction { rule, old: presence(true), new: presence(false) }),
         }
     }
-    for name in new.keys().filter(|name| one_side == OneSide::Contradicts && !old.contains_key(*name)) {
+    for name in new.keys().filter(|name| only_in_new == OnlyInNew::Contradicts && !old.contains_key(*name)) {
         let rule = format!("{what} '{name}'");
-        all.push(Contradiction { rule, old: there(false), new: there(true) });
+        all.push(Contradiction { rule, old: presence(false), new: presence(true) });
     }
 }
 
-fn fields<T>(what: &str, old: &T, new: &T, rules: &[Field<T>], all: &mut Vec<Contradiction>) {
-    for (field, read) in rules {
-        let (old, new) = (read(old), read(new));
+fn compare_fields<T>(what: &str, old: &T, new: &T, fields: &[Field<T>], all: &mut Vec<Contradiction>) {
+    for (field, format_value) in fields {
+        let (old, new) = (format_value(old), format_value(new));
         if old != new {
             all.push(Contradiction { rule: format!("{what}: {field}"), old, new });
         }
@@ -139,7 +139,7 @@
         &mut book.backends.as_mut().expect("listed")[0]
     }
 
-    /// A change, and the rule that it contradicts, if any.
+    /// Name of the case, change, and the rule that it contradicts, if any.
     const CASES: [Case; 30] = [
         ("nothing", |_| {}, None),
         ("worth", |b| b.classes[0].worth = 9.0, None),
@@ -200,7 +200,7 @@
     ];
 
     #[test]
-    fn rule_by_rule() {
+    fn each_change_contradicts_its_rule_only() {
         for (what, change, rule) in CASES {
             let mut other = example();
             change(&mut other);
@@ -217,24 +217,24 @@
     }
 
     proptest! {
-        /// It is about the pair: whichever came first, the same rules stand against each other, but for a backend
-        /// that only one knows.
+        /// Several changes contradict the union of their rules, and the relation is symmetric except for a backend that
+        /// only one rulebook has.
         #[test]
-        fn changes_add_up_and_go_back(picks in proptest::collection::vec(0usize..CASES.len(), 0..6)) {
+        fn contradictions_accumulate_and_are_symmetric(picks in proptest::collection::vec(0usize..CASES.len(), 0..6)) {
             let mut other = example();
-            let mut wanted = std::collections::BTreeSet::new();
+            let mut expected = std::collections::BTreeSet::new();
             for pick in &picks {
-                // A change that removes what another one changes would take its rule along.
+                // A change that removes an entry would hide the contradictions of other changes to that entry.
                 let (what, change, rule) = CASES[*pick];
                 if ["class gone", "tenant gone", "discovery", "order", "backend gone", "backend new"].contains(&what) {
                     continue;
                 }
                 change(&mut other);
-                wanted.extend(rule);
+                expected.extend(rule);
             }
             let found: std::collections::BTreeSet<String> =
                 contradicts(&example(), &other).into_iter().map(|c| c.rule).collect();
-            prop_assert_eq!(&found, &wanted.into_iter().map(str::to_owned).collect());
+            prop_assert_eq!(&found, &expected.into_iter().map(str::to_owned).collect());
             let back: std::collections::BTreeSet<String> =
                 contradicts(&other, &example()).into_iter().map(|c| c.rule).collect();
             prop_assert_eq!(found, back);
--- a/crates/sandgap-agree/src/follower.rs
+++ b/crates/sandgap-agree/src/follower.rs
@@ -1,10 +1,10 @@
-//! What every proxy does with agreed rules: it asks for leases, looks at versions, and says under which version a
-//! request may be taken now, if any.
+//! The part that every proxy has in agreed rules: it asks for leases, checks versions, and decides under which version
+//! a request may be taken now, if any.
 //!
-//! A lease is on *how fresh the knowledge is*, not on one version: an answer says what stood at some moment after the
-//! question. Until a span after the asking, the proxy may act on that version, or on any later one that it has heard
-//! of: whatever it does not know of has come into force after the asking, less than the span ago. `docs/agree-design.md`
-//! turns this into the bound T.
+//! A lease covers the *freshness of the knowledge*, not one version: a grant says what was in force at some moment
+//! after the request. For a fixed time after the request, the proxy may act on that version, or on any later one that
+//! it has learned of: a version unknown to it came into force after the request, less than that time ago.
+//! `docs/agree-design.md` derives the bound T from this.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,33 +12,33 @@
 use sandgap_fleet::Time;
 use sandgap_fleet::lease::{Asker, Lease, Right};
 
-use crate::limits::{RIDERS, TOLD};
+use crate::limits::{MAX_RIDER_MESSAGE_BYTES, MAX_RIDER_MESSAGES};
 use crate::rider::{Tag, Told};
 use crate::rulebook::{Digest, Rulebook, Version, digest};
 use crate::tenure::{Holder, Turn};
 use crate::terms::Span;
 use crate::words::{Grant, Report, Standing};
 
-/// Versions of which the book is held: the one acted on, the one in force, the one put forward, and one that was.
-const HELD: usize = 4;
+/// Most rulebooks held: that of the active version, of the one in force, of the pending one, and an earlier one.
+const MAX_HELD_BOOKS: usize = 4;
 
-/// A rulebook that this proxy has, and whether it can use it.
+/// A rulebook that this proxy holds, and whether it can use it.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldBook {
     digest: Digest,
     book: Rc<Rulebook>,
-    /// `None` until the shell has said.
+    /// `None` until [`Follower::checked`] is called.
     usable: Option<Result<(), String>>,
 }
 
-/// What there is to do about versions.
+/// What the caller has to do about a version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Ask for this version's book.
+    /// Fetch the rulebook of this version.
     Fetch(Version),
-    /// Say whether this proxy can use it, with [`Follower::checked`].
+    /// Check whether this proxy can use it, and call [`Follower::checked`].
     Check(Version, Rc<Rulebook>),
-    /// Act on it from now on: requests that come are taken under it.
+    /// Act on it from now on: new requests are taken under it.
     Act(Version, Rc<Rulebook>),
 }
 
@@ -51,33 +51,34 @@
     pub right: Right<'a>,
 }
 
-/// A proxy's part in agreed rules.
+/// A proxy's state about agreed rules, see the module.
 #[derive(Debug)]
 pub struct Follower {
     span: Span,
     asker: Asker,
-    /// What stands, as heard last.
+    /// The last known version in force and pending version.
     known: Standing,
     /// The version acted on; 0 for none.
     acting: Version,
-    /// On the version acted on.
+    /// The lease on the version acted on.
     lease: Lease,
-    /// On a newer one that is not acted on yet. It says nothing of the older one, which may have ended long ago.
-    ahead: Lease,
-    held: BTreeMap<Version, Held>,
-    /// Why the version in force can't be used, where it can't.
+    /// The lease on a newer version that is not acted on yet. It does not cover the older one, which may have ended
+    /// long ago.
+    ahead_lease: Lease,
+    held: BTreeMap<Version, HeldBook>,
+    /// Why the version in force can't be used, if it can't.
     unusable: Option<String>,
     looked: Option<(Version, Option<String>)>,
-    /// Requests refused for the want of a lease.
+    /// Requests refused for lack of a lease.
     refused: u64,
-    /// Its place among the lives, where it wants one.
+    /// The enrolment of this process, if it wants one.
     holder: Option<Holder>,
-    /// What it says to riders of the log with each question.
-    telling: Told,
+    /// Messages to the riders of the log, sent with each lease request.
+    rider_messages: Told,
 }
 
 impl Follower {
-    /// One that knows nothing. `first` is drawn by chance at each start, see [`Asker`].
+    /// A follower without any knowledge. `first` is random at each start, see [`Asker`].
     pub fn new(span: Span, first: u64) -> Self {
         Follower {
             span,
@@ -85,94 +86,98 @@
             known: Standing::default(),
             acting: 0,
             lease: Lease::default(),
-            ahead: Lease::default(),
+            ahead_lease: Lease::default(),
             held: BTreeMap::new(),
             unusable: None,
             looked: None,
             refused: 0,
             holder: None,
-            telling: Told::new(),
+            rider_messages: Told::new(),
         }
     }
 
-    /// What a rider of the log is told with each question from now on; empty for nothing.
+    /// Sets the message to a rider of the log that is sent with each lease request; empty for none.
     pub fn tell(&mut self, tag: Tag, bytes: Vec<u8>) {
-        self.telling.retain(|(t, _)| *t != tag);
-        if !bytes.is_empty() && bytes.len() <= TOLD && self.telling.len() < RIDERS {
-            self.telling.push((tag, bytes));
+        self.rider_messages.retain(|(t, _)| *t != tag);
+        if !bytes.is_empty()
+            && bytes.len() <= MAX_RIDER_MESSAGE_BYTES
+            && self.rider_messages.len() < MAX_RIDER_MESSAGES
+        {
+            self.rider_messages.push((tag, bytes));
         }
     }
 
-    /// From now on this process wants a place among the lives.
+    /// Makes this process enrol as a life from now on.
     pub fn enlist(&mut self, holder: Holder) {
         self.holder = Some(holder);
     }
 
-    /// Its place among the lives, where it wants one.
+    /// The enrolment of this process, if it wants one.
     pub fn holder(&self) -> Option<&Holder> {
         self.holder.as_ref()
     }
 
-    /// The same, to be changed.
+    /// Mutable access to the enrolment of this process.
     pub fn holder_mut(&mut self) -> Option<&mut Holder> {
         self.holder.as_mut()
     }
 
-    /// Numbers a question that goes out now, and says how this proxy stands.
+    /// The number and the report of a lease request that is sent now.
     pub fn ask(&mut self, now: Time) -> (u64, Report) {
         let number = self.asker.ask(now);
         let lease_ms = u32::try_from(self.lease.left(now).as_millis()).unwrap_or(u32::MAX);
         let looked = self.looked.clone();
         let draw = self.holder.as_ref().map_or(0, Holder::draw);
-        let (acting, refused, told) = (self.acting, self.refused, self.telling.clone());
+        let (acting, refused, told) = (self.acting, self.refused, self.rider_messages.clone());
         let report = Report { serial: number, acting, looked, lease_ms, refused, draw, told };
         (number, report)
     }
 
-    /// An answer has come.
+    /// Processes a grant.
     pub fn granted(&mut self, now: Time, grant: &Grant, turns: &mut Vec<Turn>) -> Vec<Step> {
         let Some(asked) = self.asker.answered(grant.number) else { return Vec::new() };
         if let (Some(holder), Some(tenure)) = (&mut self.holder, &grant.tenure) {
             holder.granted(asked, tenure, self.span, turns);
         }
-        let steps = self.heard(now, &grant.standing);
+        let steps = self.receive_news(now, &grant.standing);
         let standing = &grant.standing;
-        // What stood then is older than what is known now, or just that: then the knowledge is as fresh as the asking.
+        // If the granted version is the active one or an older one, the knowledge here is as fresh as the request.
         if standing.version <= self.acting && !self.known.closed {
             self.lease.granted(asked, self.span.bound, self.span.drift);
         } else if standing.version == self.known.version && !standing.closed {
-            self.ahead.granted(asked, self.span.bound, self.span.drift);
+            self.ahead_lease.granted(asked, self.span.bound, self.span.drift);
         }
         steps
     }
 
-    /// Something else stands or is put forward. Brings no lease; a word from earlier in the log changes nothing.
-    pub fn heard(&mut self, now: Time, standing: &Standing) -> Vec<Step> {
+    /// Processes news of the version in force and the pending one. It grants no lease; news from earlier in the log is
+    /// ignored.
+    pub fn receive_news(&mut self, now: Time, standing: &Standing) -> Vec<Step> {
         if standing.index < self.known.index {
             return Vec::new();
         }
         if standing.version > self.known.version {
-            self.ahead.give_back();
+            self.ahead_lease.give_back();
         }
         self.known = standing.clone();
         if self.known.closed {
             self.lease.give_back();
         }
-        self.next(now)
+        self.next_steps(now)
     }
 
-    /// A rulebook has come. One that is not what was named is passed over.
-    pub fn book(&mut self, version: Version, bytes: &[u8]) -> Vec<Step> {
-        let Some(wanted) = self.wanted().find(|(v, _)| *v == version) else { return Vec::new() };
-        if self.held.contains_key(&version) || digest(bytes) != wanted.1 {
+    /// Processes a rulebook that has arrived. One that was not requested or has another digest is ignored.
+    pub fn receive_book(&mut self, version: Version, bytes: &[u8]) -> Vec<Step> {
+        let Some(needed) = self.needed().find(|(v, _)| *v == version) else { return Vec::new() };
+        if self.held.contains_key(&version) || digest(bytes) != needed.1 {
             return Vec::new();
         }
         match Rulebook::decode(bytes) {
             Ok(book) => {
-                let held = Held { digest: wanted.1, book: Rc::new(book), usable: None };
+                let held = HeldBook { digest: needed.1, book: Rc::new(book), usable: None };
                 let check = Step::Check(version, held.book.clone());
                 self.held.insert(version, held);
-                self.forget();
+                self.evict_books();
                 vec![check]
             }
             Err(e) => {
@@ -182,17 +187,18 @@
         }
     }
 
-    /// Whether this proxy can use a version, and if not, why.
+    /// Records whether this proxy can use a version, and if not, why.
     pub fn checked(&mut self, now: Time, version: Version, usable: Result<(), String>) -> Vec<Step> {
         let Some(held) = self.held.get_mut(&version) else { return Vec::new() };
         held.usable = Some(usable.clone());
         if self.looked.as_ref().is_none_or(|(v, _)| *v <= version) {
             self.looked = Some((version, usable.err()));
         }
-        self.next(now)
+        self.next_steps(now)
     }
 
-    /// A version could not be put in force after all: this proxy acts on nothing until another stands.
+    /// Records that a version could not be activated after all: this proxy takes no requests until another version is
+    /// in force.
     pub fn cannot_act(&mut self, version: Version, why: &str) {
         if let Some(held) = self.held.get_mut(&version) {
             held.usable = Some(Err(why.to_owned()));
@@ -204,10 +210,10 @@
         }
     }
 
-    /// What is to be done about what is known: books that are missing, a version to act on.
-    fn next(&mut self, now: Time) -> Vec<Step> {
+    /// The steps that follow from the known state: rulebooks to fetch, and a version to act on.
+    fn next_steps(&mut self, now: Time) -> Vec<Step> {
         let missing: Vec<Step> =
-            self.wanted().filter(|(v, _)| !self.held.contains_key(v)).map(|(v, _)| Step::Fetch(v)).collect();
+            self.needed().filter(|(v, _)| !self.held.contains_key(v)).map(|(v, _)| Step::Fetch(v)).collect();
         let mut steps = missing;
         let version = self.known.version;
         if version > self.acting
@@ -216,7 +222,7 @@
             match &held.usable {
                 Some(Ok(())) => {
                     steps.push(Step::Act(version, held.book.clone()));
-                    self.act(now, version);
+                    self.activate(now, version);
                 }
                 Some(Err(why)) => self.unusable = Some(why.clone()),
                 None => {}
@@ -225,36 +231,36 @@
         steps
     }
 
-    fn act(&mut self, now: Time, version: Version) {
+    fn activate(&mut self, now: Time, version: Version) {
         self.acting = version;
         self.unusable = None;
-        // A lease on how fresh the knowledge was is good for what came later, too.
-        let ahead = std::mem::take(&mut self.ahead);
-        if ahead.left(now) > self.lease.left(now) {
-            self.lease = ahead;
+        // A lease covers the freshness of the knowledge, so it also covers later versions.
+        let ahead_lease = std::mem::take(&mut self.ahead_lease);
+        if ahead_lease.left(now) > self.lease.left(now) {
+            self.lease = ahead_lease;
         }
         if self.known.closed {
             self.lease.give_back();
         }
-        self.forget();
+        self.evict_books();
     }
 
-    /// Versions of which the book is needed.
-    fn wanted(&self) -> impl Iterator<Item = (Version, Digest)> + use<> {
+    /// Versions whose rulebook is needed, with its digest.
+    fn needed(&self) -> impl Iterator<Item = (Version, Digest)> + use<> {
         let standing = (self.known.version > self.acting).then_some((self.known.version, self.known.digest));
         standing.into_iter().chain(self.known.pending)
     }
 
-    fn forget(&mut self) {
-        while self.held.len() > HELD {
+    fn evict_books(&mut self) {
+        while self.held.len() > MAX_HELD_BOOKS {
             let keep = [self.acting, self.known.version, self.known.pending.map_or(0, |p| p.0)];
             let Some(old) = self.held.keys().find(|v| !keep.contains(v)).copied() else { break };
             self.held.remove(&old);
         }
     }
 
-    /// The right to take a request now; `None` where the lease has lapsed or there is nothing to act on. Has to be
-    /// asked anew for each request, and again before a request's first byte goes to a backend.
+    /// The right to take a request now; `None` if the lease has lapsed or there is no version to act on. To be called
+    /// for each request, and again before a request's first byte goes to a backend.
     pub fn take(&self, now: Time) -> Option<Taking<'_>> {
         if self.acting == 0 || self.known.closed {
             return None;
@@ -262,32 +268,33 @@
         Some(Taking { version: self.acting, right: self.lease.right(now)? })
     }
 
-    /// Counts a request that was refused for the want of a lease.
+    /// Counts a request that was refused for lack of a lease.
     pub fn count_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// The version acted on; 0 for none. Without a lease only what is served at any rate may go on under it.
+    /// The version acted on; 0 for none. Without a lease only classes with [`crate::rulebook::OnLapse::Serve`] may use
+    /// it.
     pub fn acting(&self) -> Version {
         self.acting
     }
 
-    /// Its rulebook.
+    /// The rulebook of the version acted on.
     pub fn acting_book(&self) -> Option<&Rc<Rulebook>> {
         self.held.get(&self.acting).map(|h| &h.book)
     }
 
-    /// What stands, as heard last.
+    /// The last known version in force and pending version.
     pub fn known(&self) -> &Standing {
         &self.known
     }
 
-    /// Why the version in force can't be used here.
+    /// Why the version in force can't be used here, if it can't.
     pub fn unusable(&self) -> Option<&str> {
         self.unusable.as_deref()
     }
 
-    /// The bytes of a version that is held, for another proxy that asks.
+    /// The bytes of a held rulebook, for another proxy that fetches it.
     pub fn bytes(&self, version: Version) -> Option<Vec<u8>> {
         self.held.get(&version).and_then(|h| h.book.encode().ok())
     }
@@ -312,8 +319,8 @@
         let mut book = example();
         book.limits.max_attempts = attempts;
         let bytes = book.encode().expect("small");
-        let name = digest(&bytes);
-        (bytes, name)
+        let digest = digest(&bytes);
+        (bytes, digest)
     }
 
     fn standing(index: u64, version: Version) -> Standing {
@@ -330,9 +337,11 @@
         f.granted(ms(now), &grant, &mut Vec::new())
     }
 
-    /// Fetches, checks and acts on a version that it has heard of.
+    /// Delivers and checks the rulebook of a known version, so that the follower acts on it.
     fn act(f: &mut Follower, now: u64, version: Version) {
-        assert!(matches!(f.book(version, &book(version as u32).0)[..], [Step::Check(v, _)] if v == version));
+        assert!(
+            matches!(f.receive_book(version, &book(version as u32).0)[..], [Step::Check(v, _)] if v == version)
+        );
         assert!(matches!(f.checked(ms(now), version, Ok(()))[..], [Step::Act(v, _)] if v == version));
     }
 
@@ -341,66 +350,66 @@
     }
 
     #[test]
-    fn it_takes_nothing_before_it_has_rules_and_a_lease_on_them() {
+    fn it_takes_no_request_without_rules_and_a_lease() {
         let mut f = follower();
         assert_eq!(version(&f, 0), None);
         assert_eq!(grant(&mut f, 0, 5, standing(1, 1)), [Step::Fetch(1)]);
         assert_eq!(version(&f, 6), None);
         act(&mut f, 10, 1);
-        // The lease counts from the question, not from when the rules had come.
+        // The lease counts from the request, not from the arrival of the rules.
         assert_eq!((version(&f, 999), version(&f, 1000)), (Some(1), None));
     }
 
     #[test]
-    fn an_answer_that_tells_of_newer_rules_does_not_renew_the_older() {
+    fn a_grant_of_newer_rules_does_not_renew_the_lease_on_older_ones() {
         let mut f = follower();
         grant(&mut f, 0, 5, standing(1, 1));
         act(&mut f, 10, 1);
         assert_eq!(grant(&mut f, 500, 505, standing(7, 2)), [Step::Fetch(2)]);
         assert_eq!((version(&f, 999), version(&f, 1001)), (Some(1), None));
-        // Once it holds them, the same answer counts for them.
+        // Once it holds the newer rules, the same grant covers them.
         act(&mut f, 1100, 2);
         assert_eq!((version(&f, 1499), version(&f, 1500)), (Some(2), None));
     }
 
     #[test]
-    fn a_lease_is_good_for_what_is_heard_of_later() {
+    fn a_lease_covers_later_versions() {
         let mut f = follower();
         grant(&mut f, 0, 5, standing(1, 1));
         act(&mut f, 10, 1);
-        assert_eq!(f.heard(ms(20), &standing(7, 2)), [Step::Fetch(2)]);
+        assert_eq!(f.receive_news(ms(20), &standing(7, 2)), [Step::Fetch(2)]);
         act(&mut f, 30, 2);
         assert_eq!((version(&f, 999), version(&f, 1000)), (Some(2), None));
     }
 
     #[test]
-    fn words_from_earlier_in_the_log_unsay_nothing() {
+    fn news_and_grants_from_earlier_in_the_log_are_ignored() {
         let mut f = follower();
         grant(&mut f, 0, 5, standing(1, 1));
         act(&mut f, 10, 1);
-        f.heard(ms(20), &Standing { closed: true, ..standing(9, 1) });
+        f.receive_news(ms(20), &Standing { closed: true, ..standing(9, 1) });
         assert_eq!(version(&f, 21), None);
-        f.heard(ms(30), &standing(8, 1));
+        f.receive_news(ms(30), &standing(8, 1));
         grant(&mut f, 31, 32, standing(8, 1));
-        assert_eq!(version(&f, 33), None, "it was closed after that");
+        assert_eq!(version(&f, 33), None, "the close came later in the log");
         grant(&mut f, 40, 45, standing(10, 1));
-        assert_eq!(version(&f, 46), Some(1), "what was to follow has been abandoned");
+        assert_eq!(version(&f, 46), Some(1), "the pending version has been abandoned");
     }
 
     #[test]
-    fn rules_of_another_content_or_that_it_can_t_use_are_not_acted_on() {
+    fn rules_with_a_wrong_digest_or_that_are_unusable_are_not_acted_on() {
         let mut f = follower();
         grant(&mut f, 0, 5, standing(1, 1));
-        assert!(f.book(1, &book(9).0).is_empty());
-        assert!(f.book(3, &book(3).0).is_empty(), "nobody asked for it");
-        assert!(matches!(f.book(1, &book(1).0)[..], [Step::Check(1, _)]));
+        assert!(f.receive_book(1, &book(9).0).is_empty());
+        assert!(f.receive_book(3, &book(3).0).is_empty(), "it was not requested");
+        assert!(matches!(f.receive_book(1, &book(1).0)[..], [Step::Check(1, _)]));
         assert!(f.checked(ms(9), 1, Err("no such zone".into())).is_empty());
         assert_eq!((version(&f, 10), f.unusable()), (None, Some("no such zone")));
         assert_eq!(f.ask(ms(11)).1.looked, Some((1, Some("no such zone".into()))));
     }
 
     #[test]
-    fn a_version_that_could_not_be_put_in_force_gives_no_right() {
+    fn a_version_that_could_not_be_activated_gives_no_right() {
         let mut f = follower();
         grant(&mut f, 0, 5, standing(1, 1));
         act(&mut f, 10, 1);
@@ -413,14 +422,17 @@
     }
 
     #[test]
-    fn books_that_are_held_are_bounded() {
+    fn held_books_are_bounded() {
         let mut f = follower();
         for v in 1..40 {
-            f.heard(ms(v), &Standing { pending: Some((v + 1, book(v as u32 + 1).1)), ..standing(v, v) });
-            f.book(v, &book(v as u32).0);
+            f.receive_news(
+                ms(v),
+                &Standing { pending: Some((v + 1, book(v as u32 + 1).1)), ..standing(v, v) },
+            );
+            f.receive_book(v, &book(v as u32).0);
             f.checked(ms(v), v, Ok(()));
         }
-        assert!(f.held.len() <= HELD);
+        assert!(f.held.len() <= MAX_HELD_BOOKS);
         assert!(f.acting_book().is_some());
     }
 }
--- a/crates/sandgap-agree/src/lib.rs
+++ b/crates/sandgap-agree/src/lib.rs
@@ -1,9 +1,9 @@
-//! Rules on which the proxies of a fleet agree: [`rulebook`]s in numbered versions, put into a replicated log by a
-//! majority of [`voter`]s, held and acted on by every proxy's [`follower`] under a lease, so that no two act on
-//! contradicting rules together for longer than a stated time T. `docs/agree-design.md` has the proof.
+//! Rules on which the proxies of a fleet agree. A majority of [`voter`]s commits numbered versions of a [`rulebook`] to
+//! a replicated log; every proxy's [`follower`] acts on them under a lease, so that no two proxies act on contradicting
+//! rules at the same time for longer than a configured bound T. `docs/agree-design.md` has the proof.
 //!
-//! All but [`store`] does no I/O: [`agent::Agent`] takes time and words and gives back what is to be done. The daemon
-//! drives it on sockets, the laboratory in virtual time.
+//! Only [`store`] does I/O: [`agent::Agent`] takes the time and messages, and returns what is to be done. The daemon
+//! drives it over sockets, the simulator (`sandgap-lab`) in virtual time.
 
 pub mod agent;
 pub mod contradict;
--- a/crates/sandgap-agree/src/log.rs
+++ b/crates/sandgap-agree/src/log.rs
@@ -1,5 +1,5 @@
-//! The log as the consensus engine reads it: in memory, small, with the last snapshot. What is in it beyond the last
-//! [`Write`] that the disk has acknowledged is promised to nobody.
+//! The in-memory log that the consensus engine reads: the last snapshot and the entries around and after it. Whatever
+//! goes beyond the last [`Write`] that the disk has acknowledged is not durable, and no message may depend on it.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -7,29 +7,29 @@
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-use crate::limits::LAG;
-use crate::machine::{Entry as Agreed, Machine, Seat};
+use crate::limits::RETAINED_ENTRIES;
+use crate::machine::{Entry as AgreedEntry, Machine, Seat};
 use crate::rider::{Riders, Told, Unreadable};
 
-/// Room between what one voter has and whatever a lost majority may have agreed on beyond it.
-const GAP: u64 = 1_000_000;
+/// Numbers that a recovered voter skips, to stay clear of whatever a lost majority may have assigned.
+const RECOVERY_GAP: u64 = 1_000_000;
 
-/// What a disk has to keep, in this order, before [`crate::Agent::written`] tells its number.
+/// A write to the disk. Writes are persisted in order, each before [`crate::Agent::written`] gets its number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Write {
-    /// Counted up; a number acknowledged covers all before it.
+    /// Increasing; the acknowledgement of a number covers all earlier writes.
     pub number: u64,
-    /// Term, vote and commit index, encoded.
+    /// The encoded hard state: term, vote and commit index.
     pub hard: Option<Vec<u8>>,
-    /// Index and entry, encoded. Whatever is kept from the first index on goes.
+    /// Indexes and encoded entries. They replace all stored entries from the first index on.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// A snapshot, encoded; entries up to its index go, less a few.
+    /// Index and encoded snapshot. If the index lies beyond all stored entries, they are deleted.
     pub snapshot: Option<(u64, Vec<u8>)>,
-    /// Entries up to this index go.
+    /// Stored entries up to this index are deleted; compaction retains a few before the snapshot.
     pub cut: Option<u64>,
 }
 
-/// What a disk had at the start.
+/// The contents of a voter's store at startup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Saved {
     /// The number of this voter's seat.
@@ -42,56 +42,57 @@
     pub snapshot: Option<(u64, Vec<u8>)>,
 }
 
-/// Why what a disk had can't be used.
+/// Why the contents of a store can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damaged {
-    /// It is not what was written.
+    /// The contents differ from what was written.
     #[error("the voter's store is damaged: {0}")]
     Broken(&'static str),
-    /// It was written by another build of the program.
+    /// Another build of the program wrote them.
     #[error("the voter's store: {0}")]
     Foreign(#[from] Unreadable),
-    /// It was written by a later build of the program.
+    /// A later build of the program wrote them.
     #[error(
-        "the voter's store has form {0}, and this build of sandgap reads up to {FORM}: start the later build"
+        "the voter's store has format {0}, but this build of sandgap reads formats up to {SNAPSHOT_FORMAT}: \
+         start the later build"
     )]
     Later(u8),
 }
 
-/// What a log has built: rules and lives, and the states of the machines that it carries.
+/// The contents of a snapshot: the state that the log has built, with that of its riders.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Image {
     /// Rules, voters and lives.
     pub machine: Machine,
-    /// The others, by tag.
+    /// The states of the riders, by tag.
     pub parts: Told,
 }
 
-/// What a snapshot's bytes begin with, but for those of the form before there were any: no number of that form begins
-/// so.
-const MARK: [u8; 10] = [0xff; 10];
-/// The form of snapshots that this build writes, and the latest that it reads.
-const FORM: u8 = 1;
+/// The first bytes of a snapshot. Snapshots of the first format have no mark, and none can begin with these bytes, as
+/// no encoded number does.
+const FORMAT_MARK: [u8; 10] = [0xff; 10];
+/// The snapshot format that this build writes, and the latest that it reads.
+const SNAPSHOT_FORMAT: u8 = 1;
 
 impl Saved {
-    /// What each voter's disk has at the founding of a fleet: its seat, and who the voters are.
+    /// The initial store of a voter of a new fleet: its seat, and the set of voters.
     pub fn founding(seat: u64, seats: &BTreeMap<u64, Seat>) -> Self {
         let image = Image { machine: Machine::new(seats.clone()), parts: Told::new() };
-        let snapshot = snapshot_of(&image, 1, 1, conf(seats));
-        Saved { seat, snapshot: Some((1, encoded(&snapshot))), ..Saved::default() }
+        let snapshot = encode_snapshot(&image, 1, 1, conf_state(seats));
+        Saved { seat, snapshot: Some((1, encode_proto(&snapshot))), ..Saved::default() }
     }
 
-    /// A seat without anything: of a voter that has lost its disk, until the others have rebuilt it.
+    /// An empty store, for a voter that has lost its disk, until the other voters have rebuilt it.
     pub fn blank(seat: u64) -> Self {
         Saved { seat, ..Saved::default() }
     }
 
-    /// What this voter's disk has as the store of a fleet whose only voter it is: the last resort after a majority is
-    /// lost for good. What the lost ones had agreed on since is forgotten; if one of them comes back, two fleets may
-    /// contradict each other without end.
+    /// Turns this store into that of a fleet with this voter alone: the last resort after a majority is lost for good.
+    /// Whatever the lost voters have committed beyond this store is lost. If one of them comes back, two fleets may
+    /// contradict each other indefinitely.
     ///
     /// # Errors
-    /// Where the store is damaged, or has no seat among the voters.
+    /// If the store is damaged, or its seat does not belong to the set of voters.
     pub fn alone(&self, mut riders: Riders) -> Result<Saved, Damaged> {
         let (log, image) = Log::load(self)?;
         riders.restore(&image.parts)?;
@@ -99,25 +100,25 @@
         let seated = machine.seats.get(&self.seat).cloned();
         let seat = seated.ok_or(Damaged::Broken("it has no seat among the voters"))?;
         let from = self.snapshot.as_ref().map_or(0, |(index, _)| *index);
-        // What stands at the end may have been agreed on by others that are lost: it counts.
+        // Entries at the end may have been committed by voters that are lost, so all of them are applied.
         for entry in log.entries.iter().filter(|e| e.index > from) {
             match postcard::from_bytes(entry.get_data()) {
-                Ok(Agreed::Rider(tag, entry)) => drop(riders.apply(tag, &entry)?),
+                Ok(AgreedEntry::Rider(tag, entry)) => drop(riders.apply(tag, &entry)?),
                 Ok(entry) => drop(machine.apply(entry)),
-                Err(_) => {} // a leader's first one, or a change of seats
+                Err(_) => {} // the empty entry that begins a term, or a change of seats
             }
         }
         machine.seats = BTreeMap::from([(self.seat, seat)]);
-        machine.skip(GAP);
-        riders.skip(GAP);
-        let term = log.entries.back().map_or(log.before.1, |e| e.term).max(log.hard.term);
-        let (index, term) = (log.last() + GAP, term + GAP);
-        let conf = conf(&machine.seats);
-        let snapshot = snapshot_of(&Image { machine, parts: riders.snapshot() }, index, term, conf);
-        Ok(Saved { seat: self.seat, snapshot: Some((index, encoded(&snapshot))), ..Saved::default() })
+        machine.skip_numbers(RECOVERY_GAP);
+        riders.skip(RECOVERY_GAP);
+        let term = log.entries.back().map_or(log.preceding.1, |e| e.term).max(log.hard.term);
+        let (index, term) = (log.last() + RECOVERY_GAP, term + RECOVERY_GAP);
+        let conf = conf_state(&machine.seats);
+        let snapshot = encode_snapshot(&Image { machine, parts: riders.snapshot() }, index, term, conf);
+        Ok(Saved { seat: self.seat, snapshot: Some((index, encode_proto(&snapshot))), ..Saved::default() })
     }
 
-    /// Puts a write on top, as a disk does.
+    /// Applies a write, as the store on the disk does.
     pub fn put(&mut self, write: &Write) {
         if let Some(hard) = &write.hard {
             self.hard = Some(hard.clone());
@@ -138,22 +139,22 @@
     }
 }
 
-fn conf(seats: &BTreeMap<u64, Seat>) -> ConfState {
+fn conf_state(seats: &BTreeMap<u64, Seat>) -> ConfState {
     let voters: Vec<u64> = seats.keys().copied().collect();
     ConfState::from((voters, Vec::new()))
 }
 
-/// The bytes of the engine's own records. They hold nothing that can't be encoded.
-pub(crate) fn encoded(message: &impl protobuf::Message) -> Vec<u8> {
+/// Encodes a record of the engine. Its records contain nothing for which encoding can fail.
+pub(crate) fn encode_proto(message: &impl protobuf::Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
 
-pub(crate) fn decoded<M: protobuf::Message>(bytes: &[u8]) -> Option<M> {
+pub(crate) fn decode_proto<M: protobuf::Message>(bytes: &[u8]) -> Option<M> {
     M::parse_from_bytes(bytes).ok()
 }
 
-pub(crate) fn snapshot_of(image: &Image, index: u64, term: u64, conf: ConfState) -> Snapshot {
-    let mut data = [&MARK[..], &[FORM]].concat();
+pub(crate) fn encode_snapshot(image: &Image, index: u64, term: u64, conf: ConfState) -> Snapshot {
+    let mut data = [&FORMAT_MARK[..], &[SNAPSHOT_FORMAT]].concat();
     data.extend(postcard::to_stdvec(&(&image.machine, &image.parts)).unwrap_or_default());
     let mut snapshot = Snapshot::default();
     snapshot.set_data(data.into());
@@ -164,16 +165,16 @@
     snapshot
 }
 
-/// What is in a snapshot. One of the form before there were forms is read as what it was: rules and lives alone.
-pub(crate) fn image_in(snapshot: &Snapshot) -> Result<Image, Damaged> {
+/// Decodes the contents of a snapshot. One without a mark is of the first format, with rules and lives alone.
+pub(crate) fn decode_snapshot(snapshot: &Snapshot) -> Result<Image, Damaged> {
     let data = snapshot.get_data();
     let broken = Damaged::Broken("the snapshot's contents");
-    match data.strip_prefix(&MARK).map(<[u8]>::split_first) {
-        Some(Some((&FORM, rest))) => match postcard::take_from_bytes(rest) {
+    match data.strip_prefix(&FORMAT_MARK).map(<[u8]>::split_first) {
+        Some(Some((&SNAPSHOT_FORMAT, rest))) => match postcard::take_from_bytes(rest) {
             Ok(((machine, parts), [])) => Ok(Image { machine, parts }),
             _ => Err(broken),
         },
-        Some(Some((form, _))) if *form > FORM => Err(Damaged::Later(*form)),
+        Some(Some((format, _))) if *format > SNAPSHOT_FORMAT => Err(Damaged::Later(*format)),
         Some(_) => Err(broken),
         None => match postcard::take_from_bytes(data) {
             Ok((machine, [])) => Ok(Image { machine, parts: Told::new() }),
@@ -182,27 +183,27 @@
     }
 }
 
-/// See the module.
+/// The in-memory log, see the module.
 pub struct Log {
     hard: HardState,
     conf: ConfState,
     entries: VecDeque<Entry>,
     /// Index and term of the entry before the first.
-    before: (u64, u64),
+    preceding: (u64, u64),
     snapshot: Snapshot,
 }
 
 impl Log {
-    /// The log that a disk had, and the machine of its snapshot.
+    /// Loads the log and the contents of its snapshot from a store.
     pub fn load(saved: &Saved) -> Result<(Self, Image), Damaged> {
         let hard = match &saved.hard {
-            Some(bytes) => decoded(bytes).ok_or(Damaged::Broken("term and vote"))?,
+            Some(bytes) => decode_proto(bytes).ok_or(Damaged::Broken("term and vote"))?,
             None => HardState::default(),
         };
         let (snapshot, image) = match &saved.snapshot {
             Some((_, bytes)) => {
-                let snapshot: Snapshot = decoded(bytes).ok_or(Damaged::Broken("the snapshot"))?;
-                let image = image_in(&snapshot)?;
+                let snapshot: Snapshot = decode_proto(bytes).ok_or(Damaged::Broken("the snapshot"))?;
+                let image = decode_snapshot(&snapshot)?;
                 (snapshot, image)
             }
             None => Default::default(),
@@ -213,16 +214,16 @@
             hard,
             conf: meta.get_conf_state().clone(),
             entries: VecDeque::new(),
-            before: at,
+            preceding: at,
             snapshot: snapshot.clone(),
         };
         for (index, bytes) in &saved.entries {
-            let entry: Entry = decoded(bytes).ok_or(Damaged::Broken("an entry"))?;
+            let entry: Entry = decode_proto(bytes).ok_or(Damaged::Broken("an entry"))?;
             if entry.index != *index {
                 return Err(Damaged::Broken("an entry's number"));
             }
             match log.entries.back().map(|e| e.index) {
-                None if *index <= at.0 => log.before = (index - 1, 0), // entries kept for those that lag
+                None if *index <= at.0 => log.preceding = (index - 1, 0), // entries retained for voters that lag
                 None if *index == at.0 + 1 => {}
                 Some(last) if last + 1 == *index => {}
                 _ => return Err(Damaged::Broken("a gap between entries")),
@@ -231,7 +232,7 @@
         }
         if log.last() < at.0 {
             log.entries.clear();
-            log.before = at;
+            log.preceding = at;
         }
         log.hard.commit = log.hard.commit.max(at.0);
         log.hard.term = log.hard.term.max(at.1);
@@ -242,11 +243,11 @@
     }
 
     fn first(&self) -> u64 {
-        self.before.0 + 1
+        self.preceding.0 + 1
     }
 
     fn last(&self) -> u64 {
-        self.entries.back().map_or(self.before.0, |e| e.index)
+        self.entries.back().map_or(self.preceding.0, |e| e.index)
     }
 
     pub(crate) fn set_hard(&mut self, hard: HardState) {
@@ -261,7 +262,7 @@
         &self.conf
     }
 
-    /// Puts entries on top; what stood at their places goes.
+    /// Appends entries; they replace all existing ones from the first index on.
     pub(crate) fn append(&mut self, entries: &[Entry]) {
         if let Some(first) = entries.first() {
             self.entries.truncate((first.index - self.first()) as usize);
@@ -269,10 +270,10 @@
         }
     }
 
-    /// Takes the place of all that is here.
+    /// Replaces the whole log by a snapshot.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
-        self.before = (meta.index, meta.term);
+        self.preceding = (meta.index, meta.term);
         self.hard.commit = meta.index;
         self.hard.term = self.hard.term.max(meta.term);
         self.conf = meta.get_conf_state().clone();
@@ -280,20 +281,20 @@
         self.snapshot = snapshot;
     }
 
-    /// Keeps a snapshot of what has been applied, and cuts the log behind it. Returns the last index that went.
+    /// Stores a snapshot of the applied state and compacts the log before it. Returns the last index that was removed.
     pub(crate) fn compact(&mut self, snapshot: Snapshot) -> u64 {
-        let to = snapshot.get_metadata().index.saturating_sub(LAG);
+        let to = snapshot.get_metadata().index.saturating_sub(RETAINED_ENTRIES);
         self.snapshot = snapshot;
         while self.entries.front().is_some_and(|e| e.index <= to) {
             if let Some(e) = self.entries.pop_front() {
-                self.before = (e.index, e.term);
+                self.preceding = (e.index, e.term);
             }
         }
-        self.before.0
+        self.preceding.0
     }
 
-    /// Entries that stand behind the snapshot.
-    pub(crate) fn behind_snapshot(&self, applied: u64) -> u64 {
+    /// The number of applied entries since the snapshot.
+    pub(crate) fn applied_since_snapshot(&self, applied: u64) -> u64 {
         applied.saturating_sub(self.snapshot.get_metadata().index)
     }
 }
@@ -320,8 +321,8 @@
         if index == meta.index {
             return Ok(meta.term);
         }
-        if index == self.before.0 && self.before.1 > 0 {
-            return Ok(self.before.1);
+        if index == self.preceding.0 && self.preceding.1 > 0 {
+            return Ok(self.preceding.1);
         }
         if index < self.first() {
             return Err(raft::Error::Store(StorageError::Compacted));
@@ -352,7 +353,7 @@
 
     fn entry(index: u64, term: u64) -> (u64, Vec<u8>) {
         let entry = Entry { index, term, ..Entry::default() };
-        (index, encoded(&entry))
+        (index, encode_proto(&entry))
     }
 
     fn seats() -> BTreeMap<u64, Seat> {
@@ -361,7 +362,7 @@
     }
 
     #[test]
-    fn a_founded_store_knows_the_voters() {
+    fn an_initial_store_contains_the_voters() {
         let (log, image) = Log::load(&Saved::founding(2, &seats())).expect("good");
         assert_eq!(image.machine.seats, seats());
         assert_eq!(log.conf().get_voters(), [1, 2, 3]);
@@ -369,34 +370,34 @@
     }
 
     #[test]
-    fn writes_are_put_on_top_of_each_other() {
+    fn later_writes_replace_earlier_entries() {
         let mut saved = Saved::founding(1, &seats());
         saved.put(&Write { entries: vec![entry(2, 1), entry(3, 1), entry(4, 1)], ..Write::default() });
         saved.put(&Write { entries: vec![entry(3, 2)], ..Write::default() });
         let (log, _) = Log::load(&saved).expect("good");
         assert_eq!((log.last(), log.term(3).expect("there")), (3, 2));
         saved.put(&Write { cut: Some(2), ..Write::default() });
-        assert!(Log::load(&saved).is_err(), "a gap behind the snapshot");
+        assert!(Log::load(&saved).is_err(), "a gap after the snapshot");
     }
 
     #[test]
-    fn a_voter_left_alone_goes_on_from_what_it_has() {
+    fn a_sole_voter_resumes_from_its_store() {
         let mut saved = Saved::founding(2, &seats());
         saved.put(&Write { entries: vec![entry(2, 5), entry(3, 5)], ..Write::default() });
         let alone = saved.alone(Riders::none()).expect("sound");
         let (log, image) = Log::load(&alone).expect("sound");
         assert_eq!(log.conf().get_voters(), [2]);
         assert_eq!(image.machine.seats.len(), 1);
-        assert!(log.last() > 3 + GAP / 2 && log.term(log.last()).expect("there") > 5);
+        assert!(log.last() > 3 + RECOVERY_GAP / 2 && log.term(log.last()).expect("there") > 5);
         assert!(Saved::blank(9).alone(Riders::none()).is_err());
     }
 
     #[test]
-    fn missing_and_broken_pieces_are_found() {
+    fn missing_and_damaged_records_are_detected() {
         let mut saved = Saved::founding(1, &seats());
         saved.put(&Write { entries: vec![entry(2, 1), entry(3, 1)], ..Write::default() });
         let hard = HardState { term: 1, vote: 1, commit: 3, ..HardState::default() };
-        saved.put(&Write { hard: Some(encoded(&hard)), ..Write::default() });
+        saved.put(&Write { hard: Some(encode_proto(&hard)), ..Write::default() });
         assert!(Log::load(&saved).is_ok());
         let mut torn = saved.clone();
         torn.entries.pop();
@@ -412,36 +413,40 @@
     }
 
     #[test]
-    fn an_older_snapshot_is_read_and_a_later_one_refused_by_its_form() {
+    fn snapshots_of_the_first_format_are_read_and_of_later_ones_refused() {
         let machine = Machine::new(seats());
         let mut saved = Saved::founding(1, &seats());
-        let mut with = |data: Vec<u8>| {
+        let mut load_snapshot = |data: Vec<u8>| {
             let mut snapshot = Snapshot::default();
             snapshot.set_data(data.into());
             snapshot.mut_metadata().index = 1;
-            snapshot.mut_metadata().set_conf_state(conf(&seats()));
-            saved.snapshot = Some((1, encoded(&snapshot)));
+            snapshot.mut_metadata().set_conf_state(conf_state(&seats()));
+            saved.snapshot = Some((1, encode_proto(&snapshot)));
             Log::load(&saved).map(|(_, image)| image)
         };
         let old = postcard::to_stdvec(&machine).expect("plain");
-        assert_eq!(with(old), Ok(Image { machine: machine.clone(), parts: vec![] }));
-        assert_eq!(with([&MARK[..], &[FORM + 1, 3, 4]].concat()), Err(Damaged::Later(FORM + 1)));
+        assert_eq!(load_snapshot(old), Ok(Image { machine: machine.clone(), parts: vec![] }));
+        assert_eq!(
+            load_snapshot([&FORMAT_MARK[..], &[SNAPSHOT_FORMAT + 1, 3, 4]].concat()),
+            Err(Damaged::Later(SNAPSHOT_FORMAT + 1))
+        );
         let parts = vec![(9, vec![1])];
         let new = postcard::to_stdvec(&(&machine, &parts)).expect("plain");
-        let image = with([&MARK[..], &[FORM], &new].concat()).expect("of this form");
+        let image =
+            load_snapshot([&FORMAT_MARK[..], &[SNAPSHOT_FORMAT], &new].concat()).expect("of this format");
         assert_eq!(image.parts, parts);
         assert_eq!(Riders::none().restore(&image.parts), Err(Unreadable::Unknown(9)));
     }
 
     #[test]
-    fn a_cut_log_still_tells_terms_at_its_edge() {
+    fn a_compacted_log_knows_the_term_of_its_last_removed_entry() {
         let mut saved = Saved::founding(1, &seats());
         saved.put(&Write { entries: (2..200).map(|i| entry(i, 1)).collect(), ..Write::default() });
         let (mut log, image) = Log::load(&saved).expect("good");
-        let went = log.compact(snapshot_of(&image, 150, 1, log.conf().clone()));
-        assert_eq!(went, 150 - LAG);
-        assert_eq!(log.term(went).expect("the edge"), 1);
-        assert!(log.term(went - 1).is_err());
-        assert_eq!(log.behind_snapshot(199), 49);
+        let removed = log.compact(encode_snapshot(&image, 150, 1, log.conf().clone()));
+        assert_eq!(removed, 150 - RETAINED_ENTRIES);
+        assert_eq!(log.term(removed).expect("the last removed entry"), 1);
+        assert!(log.term(removed - 1).is_err());
+        assert_eq!(log.applied_since_snapshot(199), 49);
     }
 }
--- a/crates/sandgap-agree/src/machine.rs
+++ b/crates/sandgap-agree/src/machine.rs
@@ -1,5 +1,6 @@
-//! What the agreed log builds: versions of the rulebook, which of them stands, which is put forward. Every voter
-//! applies the same entries in the same order and so has the same state.
+//! The replicated state machine: versions of the rulebook, the one in force and the pending one. Every voter applies
+//! the same entries in the same order and so has the same state. Its types are encoded with postcard: the order and the
+//! types of fields and variants are the format of the log and the snapshot.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,77 +9,78 @@
 use serde::{Deserialize, Serialize};
 
 use crate::contradict::contradicts;
-use crate::limits::{HISTORY, HISTORY_BYTES, cut};
+use crate::limits::{MAX_VERSIONS, MAX_VERSIONS_BYTES, cut};
 use crate::lives::{LifeEntry, Lives};
 use crate::rider::Tag;
 use crate::rulebook::{Digest, Rulebook, Version, digest};
 
-/// A voter's seat: who sits there. A voter that lost its disk gets a new seat, never its old one.
+/// A voter's seat (its raft node). A voter that has lost its disk gets a new seat, never its old one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seat {
     /// The proxy's name.
     pub name: String,
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A rulebook is put forward.
+    /// Proposes a rulebook.
     Propose(Proposal),
-    /// The version in force ends for the rules that the next one contradicts: nobody is given a lease on it.
+    /// Closes the version in force ahead of this pending version, which contradicts it: no more leases on it are
+    /// granted.
     Close(Version),
-    /// The version put forward is in force.
+    /// Puts the pending version in force.
     Switch(Version),
-    /// It will not be; by proxy, why.
+    /// Abandons the pending version, with a reason for each proxy that prevents it.
     Abandon(Version, Vec<(String, String)>),
-    /// About processes and what they left.
+    /// Changes the lives of processes.
     Life(LifeEntry),
-    /// Of a state machine that the log carries, see [`crate::rider`].
+    /// An entry of another state machine that shares the log, see [`crate::rider`].
     Rider(Tag, Vec<u8>),
 }
 
-/// A rulebook that somebody wants in force.
+/// A rulebook to be put in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Drawn by the publisher: the same proposal that arrives twice counts once.
+    /// A random number drawn by the publisher, by which a duplicate of the proposal is recognized.
     pub id: u64,
     /// The version in force that the publisher saw.
     pub parent: Version,
     /// The rulebook's bytes.
     pub book: Vec<u8>,
-    /// Who publishes.
+    /// Who publishes it.
     pub by: String,
-    /// Why.
+    /// The publisher's reason.
     pub why: String,
 }
 
-/// What has become of a version.
+/// The state of a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fate {
-    /// Put forward; proxies look at it.
+    /// Proposed; proxies check it.
     Pending,
-    /// In force, now or once.
+    /// In force now, or in the past.
     Stood,
-    /// Abandoned; by proxy, why.
+    /// Abandoned, with a reason for each proxy that prevented it.
     Abandoned(Vec<(String, String)>),
 }
 
-/// One version.
+/// A version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The content's name.
+    /// The digest of its rulebook.
     pub digest: Digest,
-    /// The proposal's number.
+    /// The id of its proposal.
     pub id: u64,
     /// Who published it.
     pub by: String,
-    /// Why.
+    /// The publisher's reason.
     pub why: String,
-    /// What has become of it.
+    /// Its state.
     pub fate: Fate,
-    /// Whether it contradicts the version before it.
+    /// Whether it contradicts the version that was in force when it was proposed.
     pub contradicts: bool,
     book: Rc<[u8]>,
 }
@@ -90,52 +92,52 @@
     }
 }
 
-/// What a proposal came to at its place in the log.
+/// The result of applying a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It is version n, and proxies look at it.
+    /// It is pending under this version, and proxies check it.
     PutForward(Version),
-    /// It came twice: it is version n.
+    /// It is a duplicate of the proposal that has this version.
     Again(Version),
     /// The version that its publisher saw is not the one in force.
     Lost {
-        /// The one in force.
+        /// The version in force.
         standing: Version,
     },
-    /// Another one is under way.
+    /// Another version is pending.
     Busy(Version),
-    /// It can't be read.
+    /// The rulebook can't be decoded.
     Unreadable(String),
 }
 
-/// The state that the log builds.
+/// The state of the replicated log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     /// The version in force; 0 before the first.
     standing: Version,
-    /// Whether it has been closed, ahead of the next.
+    /// Whether it has been closed ahead of the pending one.
     closed: bool,
-    /// The one put forward.
+    /// The pending version.
     pending: Option<Version>,
-    /// Numbers given so far.
+    /// The highest version number assigned so far.
     last: Version,
     versions: BTreeMap<Version, Record>,
-    /// Voters by seat.
+    /// Voters by seat number.
     pub seats: BTreeMap<u64, Seat>,
-    /// Who may act, and for whom.
+    /// The lives of processes.
     lives: Lives,
 }
 
 impl Machine {
-    /// A state with nothing in force yet.
+    /// The initial state, with no version in force.
     pub fn new(seats: BTreeMap<u64, Seat>) -> Self {
         Machine { seats, ..Machine::default() }
     }
 
-    /// Leaves room for numbers that a lost majority may have given since.
-    pub(crate) fn skip(&mut self, numbers: Version) {
-        self.last += numbers;
-        self.lives.skip(numbers);
+    /// Skips numbers that a lost majority may have assigned.
+    pub(crate) fn skip_numbers(&mut self, count: Version) {
+        self.last += count;
+        self.lives.skip_numbers(count);
     }
 
     /// The version in force; 0 before the first.
@@ -143,36 +145,36 @@
         self.standing
     }
 
-    /// Whether the version in force has been closed, ahead of the next.
+    /// Whether the version in force has been closed ahead of the pending one.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// The version that is put forward.
+    /// The pending version.
     pub fn pending(&self) -> Option<Version> {
         self.pending
     }
 
-    /// A version that is kept.
+    /// A version, if it is still kept.
     pub fn version(&self, version: Version) -> Option<&Record> {
         self.versions.get(&version)
     }
 
-    /// All versions that are kept, oldest first.
+    /// All kept versions, oldest first.
     pub fn versions(&self) -> impl Iterator<Item = (Version, &Record)> {
         self.versions.iter().map(|(v, r)| (*v, r))
     }
 
-    /// Who may act, and for whom.
+    /// The lives of processes.
     pub fn lives(&self) -> &Lives {
         &self.lives
     }
 
-    /// Applies an entry that a majority has. Returns what a proposal came to.
+    /// Applies a committed entry. For a proposal, returns its id and verdict.
     pub fn apply(&mut self, entry: Entry) -> Option<(u64, Verdict)> {
         match entry {
             Entry::Propose(proposal) => Some((proposal.id, self.propose(proposal))),
-            // Entries about a version that is not the one put forward come from a leader that was overtaken.
+            // An entry about a version that is not pending comes from a deposed leader.
             Entry::Close(version) => {
                 self.closed |= self.pending == Some(version);
                 None
@@ -180,8 +182,8 @@
             Entry::Switch(version) => {
                 if self.pending == Some(version) {
                     (self.standing, self.pending, self.closed) = (version, None, false);
-                    self.fate(version, Fate::Stood);
-                    self.forget();
+                    self.set_fate(version, Fate::Stood);
+                    self.evict_old_versions();
                 }
                 None
             }
@@ -189,12 +191,12 @@
                 self.lives.apply(entry);
                 None
             }
-            Entry::Rider(..) => None, // its own machine's
+            Entry::Rider(..) => None, // applied by the rider
             Entry::Abandon(version, why) => {
                 if self.pending == Some(version) {
                     (self.pending, self.closed) = (None, false);
                     let why = why.into_iter().map(|(who, why)| (cut(&who), cut(&why))).collect();
-                    self.fate(version, Fate::Abandoned(why));
+                    self.set_fate(version, Fate::Abandoned(why));
                 }
                 None
             }
@@ -212,31 +214,31 @@
         if let Some(pending) = self.pending {
             return Verdict::Busy(pending);
         }
-        let read = match Rulebook::decode(&book) {
-            Ok(read) => read,
+        let new = match Rulebook::decode(&book) {
+            Ok(new) => new,
             Err(e) => return Verdict::Unreadable(e.to_string()),
         };
         let old = self.versions.get(&self.standing).and_then(|old| Rulebook::decode(&old.book).ok());
-        let contradicts = old.is_some_and(|old| !contradicts(&old, &read).is_empty());
+        let contradicts = old.is_some_and(|old| !contradicts(&old, &new).is_empty());
         self.last += 1;
         let (by, why, fate) = (cut(&by), cut(&why), Fate::Pending);
         let record = Record { digest: digest(&book), id, by, why, fate, contradicts, book: book.into() };
         self.versions.insert(self.last, record);
         self.pending = Some(self.last);
-        self.forget();
+        self.evict_old_versions();
         Verdict::PutForward(self.last)
     }
 
-    fn fate(&mut self, version: Version, fate: Fate) {
+    fn set_fate(&mut self, version: Version, fate: Fate) {
         if let Some(record) = self.versions.get_mut(&version) {
             record.fate = fate;
         }
     }
 
-    /// Forgets the oldest versions beyond the bounds, but not those in force or put forward.
-    fn forget(&mut self) {
+    /// Evicts the oldest versions beyond the bounds, except the one in force and the pending one.
+    fn evict_old_versions(&mut self) {
         let bytes = |all: &BTreeMap<Version, Record>| all.values().map(|r| r.book.len()).sum::<usize>();
-        while self.versions.len() > HISTORY || bytes(&self.versions) > HISTORY_BYTES {
+        while self.versions.len() > MAX_VERSIONS || bytes(&self.versions) > MAX_VERSIONS_BYTES {
             let (standing, pending) = (self.standing, self.pending);
             let old = self.versions.keys().find(|v| **v != standing && Some(**v) != pending).copied();
             let Some(old) = old else { break };
@@ -259,7 +261,7 @@
     }
 
     #[test]
-    fn one_of_two_publishers_wins_and_the_other_is_told() {
+    fn concurrent_and_duplicate_proposals_get_their_verdicts() {
         let mut machine = Machine::default();
         assert_eq!(propose(&mut machine, 1, 0), Verdict::PutForward(1));
         assert_eq!(propose(&mut machine, 2, 0), Verdict::Busy(1));
@@ -271,34 +273,34 @@
     }
 
     #[test]
-    fn words_of_an_overtaken_leader_change_nothing() {
+    fn entries_of_a_deposed_leader_are_ignored() {
         let mut machine = Machine::default();
         propose(&mut machine, 1, 0);
         machine.apply(Entry::Abandon(1, vec![("p3".into(), "no such zone".into())]));
         machine.apply(Entry::Switch(1));
         machine.apply(Entry::Close(1));
         assert_eq!((machine.standing(), machine.pending(), machine.is_closed()), (0, None, false));
-        assert_eq!(propose(&mut machine, 2, 0), Verdict::PutForward(2), "numbers are never given twice");
+        assert_eq!(propose(&mut machine, 2, 0), Verdict::PutForward(2), "version numbers are never reused");
         machine.apply(Entry::Abandon(1, vec![]));
         assert_eq!(machine.pending(), Some(2));
     }
 
     #[test]
-    fn history_is_bounded_and_keeps_what_stands() {
+    fn history_is_bounded_and_keeps_the_version_in_force() {
         let mut machine = Machine::default();
         propose(&mut machine, 1, 0);
         machine.apply(Entry::Switch(1));
-        for id in 2..3 * HISTORY as u64 {
+        for id in 2..3 * MAX_VERSIONS as u64 {
             assert!(matches!(propose(&mut machine, id, 1), Verdict::PutForward(_)));
-            let pending = machine.pending().expect("just put forward");
+            let pending = machine.pending().expect("just proposed");
             machine.apply(Entry::Abandon(pending, vec![]));
         }
-        assert!(machine.versions().count() <= HISTORY);
+        assert!(machine.versions().count() <= MAX_VERSIONS);
         assert!(machine.version(1).is_some());
     }
 
     #[test]
-    fn what_can_t_be_read_is_refused_by_its_publisher_s_name() {
+    fn an_undecodable_proposal_is_refused_under_its_id() {
         let mut machine = Machine::default();
         let proposal = Proposal { id: 1, parent: 0, book: vec![9; 9], by: "x".into(), why: "y".into() };
         let (id, verdict) = machine.apply(Entry::Propose(proposal)).expect("a verdict");
--- a/crates/sandgap-agree/src/rider.rs
+++ b/crates/sandgap-agree/src/rider.rs
@@ -1,75 +1,75 @@
-//! State machines of other crates that the log carries beside rulebooks and lives. The log knows their tags and bytes,
-//! and nothing of what they are about.
+//! Riders: state machines of other crates that share the replicated log with rulebooks and lives. The log knows only
+//! their tags and their opaque bytes.
 //!
-//! What a [`Rider`] decides it decides when an entry is applied, by the entry and its own state alone: so every voter
-//! comes to the same, whoever led when the entry was put forward. What a leader sees beside the log, and proposes, may
-//! be old or wrong; it changes nothing that [`Rider::apply`] does not find right at its place.
+//! A [`Rider`] decides when an entry is applied, from the entry and its own state alone, so every voter reaches the
+//! same result whichever leader proposed the entry. What a leader observes outside the log, and proposes, may be stale
+//! or wrong; it has no effect unless [`Rider::apply`] accepts it.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use sandgap_fleet::Time;
 
-use crate::limits::TOLD;
+use crate::limits::MAX_RIDER_MESSAGE_BYTES;
 use crate::machine::Machine;
 use crate::rulebook::Rulebook;
 use crate::terms::Terms;
 use crate::words::Report;
 
-/// Tells riders apart, in the log and on links. Given once each, never anew.
+/// Identifies a rider in the log and on links. A tag is never reused.
 pub type Tag = u8;
 
-/// What a rider says of itself to a proxy, or a proxy to it, by tag.
+/// Messages between riders and a proxy, by tag.
 pub type Told = Vec<(Tag, Vec<u8>)>;
 
-/// Why a rider can't go on.
+/// Why the log or a snapshot can't be read by this build.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unreadable {
-    /// An entry or a part of a snapshot is of another build.
+    /// An entry or a part of a snapshot was written by another build.
     #[error("{what} of machine {tag} was written by another build of sandgap: start the build that wrote it")]
     Foreign {
         /// What can't be read.
         what: &'static str,
-        /// Whose it is.
+        /// The rider that it belongs to.
         tag: Tag,
     },
-    /// The log carries a machine that this build does not know.
+    /// The log carries a rider that this build does not know.
     #[error(
         "the log carries machine {0}, which this build of sandgap does not know: start a build that does"
     )]
     Unknown(Tag),
 }
 
-/// What a member said last, and when.
+/// A member's last report, and when it came.
 #[derive(Clone, Debug)]
 pub struct Known {
-    /// When that was, on this voter's clock.
+    /// When it came, on this voter's clock.
     pub at: Time,
-    /// What it said.
+    /// The report.
     pub report: Report,
 }
 
-/// What a leader knows beside a rider's own state.
+/// The leader's knowledge beyond a rider's own state.
 pub struct View<'a> {
-    /// Its clock.
+    /// The leader's clock.
     pub now: Time,
-    /// Since when it leads.
+    /// Since when it has led.
     pub led: Time,
-    /// What the installation states.
+    /// The timing parameters.
     pub terms: &'a Terms,
     /// Rules, voters and lives.
     pub machine: &'a Machine,
-    /// Members that have asked lately.
+    /// Members that have asked for a lease recently.
     pub members: &'a BTreeMap<String, Known>,
 }
 
 impl View<'_> {
-    /// Whether this one has led for long enough to have heard of every member that holds a lease.
+    /// Whether the leader has led for long enough to have a report of every member that holds a lease.
     pub fn knows_all(&self) -> bool {
         self.now >= self.led + self.terms.live()
     }
 
-    /// Members that may hold a lease, as far as is known.
+    /// Members that may hold a lease, as far as the leader knows.
     pub fn live(&self) -> impl Iterator<Item = (&String, &Known)> {
         let (now, live) = (self.now, self.terms.live());
         self.members.iter().filter(move |(_, k)| k.at + live >= now)
@@ -82,57 +82,57 @@
     }
 }
 
-/// What a rider wants put into the log by the leader that carries it.
+/// An entry that a rider asks the leader to propose.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Wish {
-    /// An entry of its own.
+    /// An entry for the rider itself.
     Own(Vec<u8>),
-    /// Other rules, if the ones in force are still those that it saw; why.
+    /// New rules, and the reason. They take effect only if the rules that the rider saw are still in force.
     Rules(Box<Rulebook>, String),
 }
 
-/// See the module.
+/// A state machine that shares the log, see the module.
 pub trait Rider {
-    /// Under which its entries stand.
+    /// The tag of its entries.
     fn tag(&self) -> Tag;
 
-    /// Its state, for a snapshot.
+    /// Encodes its state for a snapshot.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Takes over a state; nothing for the one before the first entry.
+    /// Replaces its state by that of a snapshot; `None` is the initial state.
     ///
     /// # Errors
-    /// Where it is of another build.
+    /// If another build wrote it.
     fn restore(&mut self, bytes: Option<&[u8]>) -> Result<(), Unreadable>;
 
-    /// Applies an entry that a majority has; returns what it came to, for whoever put it forward.
+    /// Applies a committed entry; returns the result for the proxy that proposed it.
     ///
     /// # Errors
-    /// Where it is of another build.
+    /// If another build wrote it.
     fn apply(&mut self, entry: &[u8]) -> Result<Vec<u8>, Unreadable>;
 
-    /// Whether somebody other than a leader may put an entry forward.
+    /// Checks whether a proxy other than the leader may propose an entry.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     fn admits(&self, entry: &[u8]) -> Result<(), String>;
 
-    /// What a leader wants in the log now. Called at each of its ticks.
+    /// Entries that the leader should propose now. Called at each of its ticks.
     fn lead(&mut self, view: &View) -> Vec<Wish>;
 
-    /// An answer to a question by hand, as far as this voter knows.
+    /// Answers an operator's question, as far as this voter knows.
     fn answer(&self, question: &[u8], view: &View) -> Vec<u8>;
 
-    /// What a proxy that asks for a lease is told; empty for nothing.
+    /// The message to a proxy that asks for a lease; empty for none.
     fn tell(&self, proxy: &str) -> Vec<u8>;
 
-    /// Why rules must not take the place of others, at this place in the log; nothing where they may. Asked when they
-    /// are put forward, and again with the entry that would put them in force.
+    /// Why one rulebook must not replace another at this place in the log; `None` if it may. Checked while the new one
+    /// is pending, and again with the entry that would put it in force.
     fn bars(&self, _old: &Rulebook, _new: &Rulebook) -> Option<String> {
         None
     }
 
-    /// Leaves room for numbers that a lost majority may have given since.
+    /// Skips numbers that a lost majority may have assigned.
     fn skip(&mut self, numbers: u64);
 }
 
@@ -147,27 +147,27 @@
 }
 
 impl Riders {
-    /// None.
+    /// An empty set.
     pub fn none() -> Self {
         Riders::default()
     }
 
-    /// One more.
+    /// Adds a rider.
     #[must_use]
     pub fn with(mut self, rider: impl Rider + 'static) -> Self {
         self.0.insert(rider.tag(), Box::new(rider));
         self
     }
 
-    /// Their states.
+    /// Encodes their states.
     pub fn snapshot(&self) -> Told {
         self.0.iter().map(|(tag, rider)| (*tag, rider.snapshot())).collect()
     }
 
-    /// Takes over their states.
+    /// Replaces their states by those of a snapshot.
     ///
     /// # Errors
-    /// Where one is of another build, or of a machine that is not here.
+    /// If another build wrote one, or one belongs to an unknown rider.
     pub fn restore(&mut self, parts: &[(Tag, Vec<u8>)]) -> Result<(), Unreadable> {
         if let Some((tag, _)) = parts.iter().find(|(tag, _)| !self.0.contains_key(tag)) {
             return Err(Unreadable::Unknown(*tag));
@@ -181,15 +181,15 @@
     /// Applies an entry of one of them.
     ///
     /// # Errors
-    /// Where this build can't.
+    /// If this build does not know the rider or can't read the entry.
     pub fn apply(&mut self, tag: Tag, entry: &[u8]) -> Result<Vec<u8>, Unreadable> {
         self.0.get_mut(&tag).ok_or(Unreadable::Unknown(tag))?.apply(entry)
     }
 
-    /// Whether somebody other than a leader may put an entry forward.
+    /// Checks whether a proxy other than the leader may propose an entry.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn admits(&self, tag: Tag, entry: &[u8]) -> Result<(), String> {
         match self.0.get(&tag) {
             Some(rider) => rider.admits(entry),
@@ -197,7 +197,7 @@
         }
     }
 
-    /// What they want in the log.
+    /// Entries that the leader should propose now, see [`Rider::lead`].
     pub fn lead(&mut self, view: &View) -> Vec<(Tag, Wish)> {
         let wishes = |(tag, rider): (&Tag, &mut Box<dyn Rider>)| {
             let tag = *tag;
@@ -206,18 +206,18 @@
         self.0.iter_mut().flat_map(wishes).collect()
     }
 
-    /// An answer to a question by hand.
+    /// Answers an operator's question; `None` for an unknown rider.
     pub fn answer(&self, tag: Tag, question: &[u8], view: &View) -> Option<Vec<u8>> {
         Some(self.0.get(&tag)?.answer(question, view))
     }
 
-    /// What a proxy is told.
+    /// The messages to a proxy that asks for a lease; empty or oversized ones are left out.
     pub fn tell(&self, proxy: &str) -> Told {
-        let told = self.0.iter().map(|(tag, rider)| (*tag, rider.tell(proxy)));
-        told.filter(|(_, bytes)| !bytes.is_empty() && bytes.len() <= TOLD).collect()
+        let messages = self.0.iter().map(|(tag, rider)| (*tag, rider.tell(proxy)));
+        messages.filter(|(_, bytes)| !bytes.is_empty() && bytes.len() <= MAX_RIDER_MESSAGE_BYTES).collect()
     }
 
-    /// Why rules must not take the place of others, and which machine says so.
+    /// Why one rulebook must not replace another, and the rider that objects, see [`Rider::bars`].
     pub fn bars(&self, old: &Rulebook, new: &Rulebook) -> Option<(Tag, String)> {
         self.0.iter().find_map(|(tag, rider)| Some((*tag, rider.bars(old, new)?)))
     }
--- a/crates/sandgap-agree/src/rulebook.rs
+++ b/crates/sandgap-agree/src/rulebook.rs
@@ -1,4 +1,5 @@
-//! A rulebook: everything on which two proxies could contradict each other, in one immutable piece.
+//! A rulebook: all rules on which two proxies could contradict each other, as one immutable value. It is encoded with
+//! postcard: the order and the types of fields and variants are the stored format.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::limits::BOOK;
+use crate::limits::MAX_RULEBOOK_BYTES;
 
-/// The number of a version, given by the log in the order in which versions were put forward; 0 is none.
+/// The number of a version, assigned by the log in the order of proposals; 0 is none.
 pub type Version = u64;
 
-/// The name of a rulebook's content: BLAKE3 of its canonical bytes.
+/// The BLAKE3 hash of a rulebook's canonical bytes.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 32]);
 
@@ -27,57 +28,57 @@
     }
 }
 
-/// Which backends drop repeats of a keyed request.
+/// Which backends drop repeats of a keyed request: the scope of its deduplication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Group {
-    /// Every one.
+    /// All backends.
     All,
-    /// Those of a zone.
+    /// The backends of a zone.
     Zone,
-    /// Those of a cell.
+    /// The backends of a cell.
     Cell,
 }
 
-/// Whether a request may run again.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Effect {
     /// It may.
     Safe,
-    /// Within a group and a span.
+    /// It may, within a group and a dedup window.
     Keyed {
-        /// Who drops repeats.
+        /// The backends that drop repeats.
         group: Group,
-        /// For how long, ms.
+        /// The dedup window, in ms.
         window_ms: f64,
     },
-    /// Never.
+    /// It must not.
     Unsafe,
 }
 
-/// What a proxy without a lease does with requests of a class.
+/// What a proxy does with requests of a class while it holds no lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OnLapse {
-    /// They are refused at once: nobody knows whether the rules still hold.
+    /// Refuses them at once, as the rules may no longer be in force.
     Refuse,
-    /// They are served by the rules known last, however old. Two proxies may then contradict each other for longer
-    /// than T.
+    /// Serves them by the last known rules, however old. Two proxies may then contradict each other for longer than
+    /// T.
     Serve,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// The first part of the path.
+    /// The first segment of the path.
     pub name: String,
-    /// Whether it may run again.
+    /// Whether its requests may run more than once.
     pub effect: Effect,
-    /// Wanted time, ms.
+    /// Target response time, in ms.
     pub aim_ms: f64,
-    /// Longest wait of a client, ms.
+    /// Longest time that a client waits, in ms.
     pub deadline_ms: f64,
-    /// What an answer in time is worth.
+    /// The value of an answer in time.
     pub worth: f64,
-    /// Without a lease.
+    /// What to do while the proxy holds no lease.
     pub on_lapse: OnLapse,
 }
 
@@ -86,7 +87,7 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Requests a second over all proxies that count in full.
+    /// Requests per second over all proxies that have their full worth.
     pub allowance_per_s: f64,
 }
 
@@ -95,7 +96,7 @@
 pub struct Backend {
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Option<String>,
@@ -103,61 +104,63 @@
     pub kind: Option<String>,
     /// Its cell.
     pub cell: Option<u64>,
-    /// Its size, about.
+    /// Its approximate size.
     pub share: f64,
-    /// Whether it finishes what it holds and takes nothing new.
+    /// Whether it finishes the requests that it holds and gets no new ones.
     pub draining: bool,
 }
 
-/// Bounds that all proxies keep.
+/// Bounds that all proxies respect.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Attempts for one request.
+    /// Most attempts for one request.
     pub max_attempts: u32,
-    /// Worth of a request beyond its tenant's allowance, as a part.
+    /// Worth of a request beyond its tenant's allowance, as a fraction of its full worth.
     pub over_share_worth: f64,
     /// The price of an attempt that crosses zones.
     pub cross_zone: f64,
-    /// Part of its capacity that a fresh backend has at least.
+    /// The least fraction of its capacity that a freshly started backend has.
     pub start_capacity: f64,
-    /// It has all of it after this, ms.
+    /// The time until a freshly started backend has its full capacity, in ms.
     pub warm_ms: f64,
-    /// Sent more than this multiple of what it can do...
+    /// A backend fails if it gets more than this multiple of its capacity for [`Limits::fall_ms`].
     pub fall_multiple: f64,
-    /// ...for this long, it falls over, ms.
+    /// How long a backend withstands that overload, in ms.
     pub fall_ms: f64,
 }
 
-/// The whole of it.
+/// A rulebook.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rulebook {
-    /// Classes, by name.
+    /// Classes, sorted by name in the canonical form.
     pub classes: Vec<Class>,
-    /// Tenants, by name.
+    /// Tenants, sorted by name in the canonical form.
     pub tenants: Vec<Tenant>,
-    /// Backends, by name; `None` where a discovery service lists them.
+    /// Backends, sorted by name in the canonical form; `None` if a discovery service lists them.
     pub backends: Option<Vec<Backend>>,
-    /// Backends that are drained by hand, whatever a list says of them.
+    /// Names of backends that are drained by hand, whatever state a list gives them.
     pub drained: BTreeSet<String>,
     /// Bounds.
     pub limits: Limits,
 }
 
-/// What is wrong with a rulebook's bytes.
+/// Why a rulebook can't be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BookError {
-    /// Too large.
-    #[error("a rulebook of {0} bytes; {BOOK} at most: fewer backends, or shorter names")]
+    /// It is too large.
+    #[error(
+        "the rulebook has {0} bytes, more than the limit of {MAX_RULEBOOK_BYTES}: use fewer backends or shorter names"
+    )]
     Large(usize),
-    /// Not a rulebook of this version of the program.
+    /// The bytes are not a rulebook of this version of the program.
     #[error(
-        "these bytes are no rulebook of this version of sandgap: publish from a proxy of the fleet's version"
+        "the bytes are not a rulebook of this version of sandgap: publish from a proxy that runs the fleet's version"
     )]
     Unknown,
 }
 
 impl Rulebook {
-    /// Puts everything in its canonical order: two books of the same content have the same bytes.
+    /// Sorts classes, tenants and backends by name, so that rulebooks of the same content have the same bytes.
     #[must_use]
     pub fn canonical(mut self) -> Self {
         self.classes.sort_by(|a, b| a.name.cmp(&b.name));
@@ -168,21 +171,21 @@
         self
     }
 
-    /// Its bytes.
+    /// Encodes the rulebook.
     ///
     /// # Errors
-    /// Where there are too many.
+    /// If it has more than [`MAX_RULEBOOK_BYTES`] bytes.
     pub fn encode(&self) -> Result<Vec<u8>, BookError> {
         let bytes = postcard::to_stdvec(self).map_err(|_| BookError::Unknown)?;
-        if bytes.len() > BOOK { Err(BookError::Large(bytes.len())) } else { Ok(bytes) }
+        if bytes.len() > MAX_RULEBOOK_BYTES { Err(BookError::Large(bytes.len())) } else { Ok(bytes) }
     }
 
-    /// Reads its bytes.
+    /// Decodes a rulebook.
     ///
     /// # Errors
-    /// Where they are none, or too many.
+    /// If the bytes are not a rulebook, or more than [`MAX_RULEBOOK_BYTES`].
     pub fn decode(bytes: &[u8]) -> Result<Self, BookError> {
-        if bytes.len() > BOOK {
+        if bytes.len() > MAX_RULEBOOK_BYTES {
             return Err(BookError::Large(bytes.len()));
         }
         match postcard::take_from_bytes(bytes) {
@@ -191,13 +194,13 @@
         }
     }
 
-    /// The class of a name.
+    /// The class with this name.
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.classes.iter().find(|c| c.name == name)
     }
 }
 
-/// The name of a rulebook's bytes.
+/// The digest of a rulebook's bytes.
 pub fn digest(bytes: &[u8]) -> Digest {
     Digest(*blake3::hash(bytes).as_bytes())
 }
@@ -248,24 +251,27 @@
     use super::*;
 
     #[test]
-    fn the_same_content_in_another_order_has_the_same_name() {
+    fn digest_does_not_depend_on_order() {
         let mut other = example();
         other.classes.reverse();
         other.backends.as_mut().expect("listed").reverse();
-        let name = |book: Rulebook| digest(&book.canonical().encode().expect("small"));
-        assert_eq!(name(other.clone()), name(example()));
+        let canonical_digest = |book: Rulebook| digest(&book.canonical().encode().expect("small"));
+        assert_eq!(canonical_digest(other.clone()), canonical_digest(example()));
         other.limits.max_attempts = 4;
-        assert_ne!(name(other), name(example()));
+        assert_ne!(canonical_digest(other), canonical_digest(example()));
     }
 
     #[test]
-    fn bytes_come_back_whole_or_not_at_all() {
+    fn decoding_needs_the_exact_bytes() {
         let bytes = example().encode().expect("small");
         assert_eq!(Rulebook::decode(&bytes), Ok(example()));
-        for cut in 0..bytes.len() {
-            assert!(Rulebook::decode(&bytes[..cut]).is_err(), "{cut}");
+        for length in 0..bytes.len() {
+            assert!(Rulebook::decode(&bytes[..length]).is_err(), "{length}");
         }
         assert_eq!(Rulebook::decode(&[&bytes[..], &[0]].concat()), Err(BookError::Unknown));
-        assert_eq!(Rulebook::decode(&vec![0; BOOK + 1]), Err(BookError::Large(BOOK + 1)));
+        assert_eq!(
+            Rulebook::decode(&vec![0; MAX_RULEBOOK_BYTES + 1]),
+            Err(BookError::Large(MAX_RULEBOOK_BYTES + 1))
+        );
     }
 }
--- a/crates/sandgap-agree/src/store.rs
+++ b/crates/sandgap-agree/src/store.rs
@@ -1,15 +1,15 @@
-//! A voter's disk: one `redb` database with its seat, term and vote, log and snapshot. The only part of this crate that
-//! does I/O.
+//! A voter's store: one `redb` database with its seat, term and vote, log and snapshot. The only part of this crate
+//! that does I/O.
 //!
-//! What is promised after a crash: a write that was acknowledged is there whole, one that was not is there whole or not
-//! at all (the engine commits copy-on-write with checksums and syncs each commit). Every value bears a BLAKE3 hash of
-//! itself and its key, and all are read at the start: a flipped bit, a swapped value or a missing piece makes the
-//! store [`Opened::Damaged`], and a voter must not go on from it under its old seat.
+//! Guarantees after a crash: an acknowledged write is completely there, any other write completely or not at all (the
+//! database commits copy-on-write with checksums and syncs each commit). Every value is stored with a BLAKE3 hash of
+//! itself and its key, and all values are read at startup: a flipped bit, a swapped value or a missing record makes the
+//! store [`Opened::Damaged`], and a voter must not resume from it under its old seat.
 //!
-//! A disk that says no is something else: it may be full or out of reach for a while, and says nothing about what it holds
-//! ([`Opened::Unavailable`]). A store comes to its name whole: it is made under another one, synced and renamed. And
-//! after a write or a sync that failed nobody can tell what of the file is on the disk (fsync(2)), whatever can be read:
-//! [`Store::renew`] writes it anew.
+//! An I/O error is different: the disk may be full or unreachable for a while, which says nothing about its contents
+//! ([`Opened::Unavailable`]). Stores are created atomically: written under a temporary name, synced and renamed. After
+//! a failed write or sync, the contents on the disk are unknown whatever can be read (fsync(2)): [`Store::renew`]
+//! writes the store again.
 
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
-use crate::limits::WRITES;
+use crate::limits::MAX_PENDING_WRITES;
 use crate::log::Damaged::{Broken, Foreign, Later};
 use crate::log::{Log, Saved, Write};
 
@@ -27,58 +27,60 @@
 const SEAT: &str = "seat";
 const HARD: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
-const HASH: usize = 32;
+const HASH_BYTES: usize = 32;
 
 /// What went wrong with a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The disk or the engine said no.
+    /// The disk or the database reported an error.
     #[error("{path}: {what}")]
     Disk {
-        /// Where.
+        /// The file.
         path: PathBuf,
-        /// What it said.
+        /// The error.
         what: String,
     },
-    /// There is a store already.
-    #[error("{0}: there is a store already; founding a fleet anew over it would forget what it has agreed")]
+    /// The store exists already.
+    #[error(
+        "{0}: the store exists already; founding a new fleet over it would lose the rules that were agreed"
+    )]
     Exists(PathBuf),
 }
 
-/// What was found at the start.
+/// The result of opening a store.
 pub enum Opened {
-    /// All of it.
+    /// The store is intact.
     Sound(Store, Saved),
-    /// Nothing.
+    /// There is no store.
     Missing,
-    /// Something that must not be gone on from.
+    /// The store is damaged and must not be used.
     Damaged(String),
-    /// It can't be told now: another process has it open, or the system denies it.
+    /// The store can't be checked now: another process has it open, or the system refuses access.
     Unavailable(String),
 }
 
-/// Why a store can't be gone on from.
+/// Why a store can't be used.
 enum Unusable {
-    /// The system said no: what is there may be sound.
-    Disk(String),
-    /// It is not what was written.
+    /// The system refused access, or another build wrote the store: it may be intact.
+    Unavailable(String),
+    /// The contents differ from what was written.
     Damaged(String),
 }
 
 impl<E: Into<redb::Error>> From<E> for Unusable {
     fn from(error: E) -> Self {
         let error = error.into();
-        if is_of_the_disk(&error) {
-            Unusable::Disk(error.to_string())
+        if is_io_error(&error) {
+            Unusable::Unavailable(error.to_string())
         } else {
             Unusable::Damaged(error.to_string())
         }
     }
 }
 
-/// Whether an error tells of the disk or of another process, and not of what the file holds. The engine tells of a file
-/// that is none of its own, or is cut short, by two errors that the system itself has no number for.
-fn is_of_the_disk(error: &redb::Error) -> bool {
+/// Whether an error comes from the disk or from another process, not from the contents of the file. For a foreign or
+/// truncated file the database reports `InvalidData` and `UnexpectedEof`, which the system itself never returns.
+fn is_io_error(error: &redb::Error) -> bool {
     match error {
         redb::Error::Io(e) => !matches!(e.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof),
         redb::Error::DatabaseAlreadyOpen | redb::Error::PreviousIo => true,
@@ -86,44 +88,46 @@
     }
 }
 
-/// See the module.
+/// A voter's store, see the module.
 pub struct Store {
     db: Database,
     path: PathBuf,
 }
 
-fn sealed(key: &[u8], value: &[u8]) -> Vec<u8> {
+fn with_hash(key: &[u8], value: &[u8]) -> Vec<u8> {
     let hash = blake3::Hasher::new().update(key).update(&[0]).update(value).finalize();
     [hash.as_bytes(), value].concat()
 }
 
-fn opened(key: &[u8], bytes: &[u8]) -> Option<Vec<u8>> {
-    let value = bytes.get(HASH..)?;
-    (sealed(key, value) == bytes).then(|| value.to_vec())
+fn verify_hash(key: &[u8], bytes: &[u8]) -> Option<Vec<u8>> {
+    let value = bytes.get(HASH_BYTES..)?;
+    (with_hash(key, value) == bytes).then(|| value.to_vec())
 }
 
 impl Store {
-    /// Makes a store for a seat.
+    /// Creates a store.
     ///
     /// # Errors
-    /// Where there is one already, or the disk says no; nothing bears its name then.
+    /// If it exists already, or on an I/O error; then no file of that name is created.
     pub fn create(path: &Path, saved: &Saved) -> Result<Self, StoreError> {
         if path.exists() {
             return Err(StoreError::Exists(path.to_owned()));
         }
-        Store::write_whole(path, saved)
+        Store::write_atomically(path, saved)
     }
 
-    /// Makes a store under another name, and gives it its own once all of it is on the disk.
-    fn write_whole(path: &Path, saved: &Saved) -> Result<Self, StoreError> {
-        let new = unfinished(path);
-        let made = Store::write_new(&new, saved).map_err(|e| disk(&new, e));
+    /// Writes a store under a temporary name, and renames it once all of it is on the disk.
+    fn write_atomically(path: &Path, saved: &Saved) -> Result<Self, StoreError> {
+        let new = temporary_path(path);
+        let made = Store::write_new(&new, saved).map_err(|e| disk_error(&new, e));
         let made = made.and_then(|db| {
-            std::fs::rename(&new, path).and_then(|()| sync_folder(path)).map_err(|e| disk(path, e))?;
+            std::fs::rename(&new, path)
+                .and_then(|()| sync_directory(path))
+                .map_err(|e| disk_error(path, e))?;
             Ok(Store { db, path: path.to_owned() })
         });
         if made.is_err() {
-            let _ = std::fs::remove_file(&new); // the next try removes it before it begins
+            let _ = std::fs::remove_file(&new); // if this fails, the next attempt removes the file first
         }
         made
     }
@@ -144,40 +148,41 @@
         Ok(store.db)
     }
 
-    /// Opens what is there and reads all of it.
+    /// Opens a store, and reads and verifies all of it.
     pub fn open(path: &Path) -> Opened {
         if !path.exists() {
             return Opened::Missing;
         }
-        // A file of which the engine can make nothing may make it fail in ways of its own.
+        // The database may panic on a file that it can't parse.
         match std::panic::catch_unwind(|| Store::open_checked(path)) {
             Ok(Ok((store, saved))) => Opened::Sound(store, saved),
-            Ok(Err(Unusable::Disk(why))) => Opened::Unavailable(why),
+            Ok(Err(Unusable::Unavailable(why))) => Opened::Unavailable(why),
             Ok(Err(Unusable::Damaged(why))) => Opened::Damaged(why),
-            Err(_) => Opened::Damaged("the engine could make nothing of it".into()),
+            Err(_) => Opened::Damaged("the database failed while reading the file".into()),
         }
     }
 
     fn open_checked(path: &Path) -> Result<(Store, Saved), Unusable> {
         let mut db = Database::open(path)?;
-        // Every page's checksum, and what the engine thinks of its free ones: it would fail over these later.
+        // Verifies the checksum of every page and the free-page lists, over which the database would fail later.
         db.check_integrity()?;
         let store = Store { db, path: path.to_owned() };
         let saved = store.read()?;
         match Log::load(&saved) {
             Ok(_) => Ok((store, saved)),
             Err(Broken(what)) => Err(Unusable::Damaged(Broken(what).to_string())),
-            // Another build's is no less sound for that: it is neither moved away nor begun anew.
-            Err(e @ (Foreign(_) | Later(_))) => Err(Unusable::Disk(e.to_string())),
+            // A store of another build is intact: it must be neither moved aside nor replaced by a blank one.
+            Err(e @ (Foreign(_) | Later(_))) => Err(Unusable::Unavailable(e.to_string())),
         }
     }
 
-    /// Opens what is there after the disk has failed, and writes all of it anew: what can be read need not be on the disk.
+    /// Opens a store after the disk has failed, and writes all of it again: data that can be read need not be on the
+    /// disk.
     pub fn renew(path: &Path) -> Opened {
         match Store::open(path) {
             Opened::Sound(store, saved) => {
                 drop(store);
-                match Store::write_whole(path, &saved) {
+                match Store::write_atomically(path, &saved) {
                     Ok(store) => Opened::Sound(store, saved),
                     Err(e) => Opened::Unavailable(e.to_string()),
                 }
@@ -186,44 +191,43 @@
         }
     }
 
-    /// Moves a damaged store out of the way, for whoever wants to look at it. Returns where it went.
+    /// Renames a damaged store, so that it can be examined. Returns its new path.
     ///
     /// # Errors
-    /// The disk's.
+    /// On an I/O error.
     pub fn set_aside(path: &Path) -> Result<PathBuf, StoreError> {
-        let aside = free_name(path, "damaged");
-        std::fs::rename(path, &aside).map_err(|e| disk(path, e))?;
+        let aside = unused_path(path, "damaged");
+        std::fs::rename(path, &aside).map_err(|e| disk_error(path, e))?;
         Ok(aside)
     }
 
-    /// Puts another store in the place of one that nobody has open, at once or not at all, and keeps the old one under a
-    /// name that it returns.
+    /// Atomically replaces a store that no process has open. Returns the path under which the old one is kept.
     ///
     /// # Errors
-    /// The disk's; the old one is still in its place then.
+    /// On an I/O error; the old store is then still in place.
     pub fn replace(path: &Path, saved: &Saved) -> Result<PathBuf, StoreError> {
-        let aside = free_name(path, "replaced");
-        std::fs::hard_link(path, &aside).map_err(|e| disk(path, e))?;
-        Store::write_whole(path, saved)?;
+        let aside = unused_path(path, "replaced");
+        std::fs::hard_link(path, &aside).map_err(|e| disk_error(path, e))?;
+        Store::write_atomically(path, saved)?;
         Ok(aside)
     }
 
     fn read(&self) -> Result<Saved, Unusable> {
         let read = self.db.begin_read()?;
         let state = read.open_table(STATE)?;
-        let piece = |key: &str| -> Result<Option<Vec<u8>>, Unusable> {
+        let value_of = |key: &str| -> Result<Option<Vec<u8>>, Unusable> {
             let Some(bytes) = state.get(key)? else { return Ok(None) };
-            opened(key.as_bytes(), bytes.value())
+            verify_hash(key.as_bytes(), bytes.value())
                 .map(Some)
-                .ok_or_else(|| Unusable::Damaged(format!("'{key}' is not as it was written")))
+                .ok_or_else(|| Unusable::Damaged(format!("the hash of '{key}' does not match")))
         };
-        let seat = piece(SEAT)?.and_then(|b| b.try_into().ok()).map(u64::from_le_bytes);
-        let seat = seat.ok_or_else(|| Unusable::Damaged("it names no seat".into()))?;
-        let hard = piece(HARD)?;
-        let snapshot = match piece(SNAPSHOT)? {
+        let seat = value_of(SEAT)?.and_then(|b| b.try_into().ok()).map(u64::from_le_bytes);
+        let seat = seat.ok_or_else(|| Unusable::Damaged("the seat is missing or malformed".into()))?;
+        let hard = value_of(HARD)?;
+        let snapshot = match value_of(SNAPSHOT)? {
             Some(bytes) => {
-                let without = || Unusable::Damaged("a snapshot without a place".into());
-                let (index, rest) = bytes.split_first_chunk::<8>().ok_or_else(without)?;
+                let malformed = || Unusable::Damaged("the snapshot has no index".into());
+                let (index, rest) = bytes.split_first_chunk::<8>().ok_or_else(malformed)?;
                 Some((u64::from_le_bytes(*index), rest.to_vec()))
             }
             None => None,
@@ -232,19 +236,19 @@
         for entry in read.open_table(ENTRIES)?.iter()? {
             let (index, bytes) = entry?;
             let index = index.value();
-            let value = opened(&index.to_le_bytes(), bytes.value());
-            let torn = || Unusable::Damaged(format!("entry {index} is not as it was written"));
-            entries.push((index, value.ok_or_else(torn)?));
+            let value = verify_hash(&index.to_le_bytes(), bytes.value());
+            let mismatch = || Unusable::Damaged(format!("the hash of entry {index} does not match"));
+            entries.push((index, value.ok_or_else(mismatch)?));
         }
         Ok(Saved { seat, hard, entries, snapshot })
     }
 
-    /// Keeps a write: when this returns well, it is on the disk.
+    /// Persists a write: when this returns `Ok`, it is on the disk.
     ///
     /// # Errors
-    /// The disk's: full, gone, broken. Nothing is promised then.
+    /// On an I/O error (full, missing or broken disk). Nothing is guaranteed then.
     pub fn keep(&self, write: &Write) -> Result<(), StoreError> {
-        self.commit(write, None).map_err(|e| disk(&self.path, e))
+        self.commit(write, None).map_err(|e| disk_error(&self.path, e))
     }
 
     fn commit(&self, write: &Write, seat: Option<u64>) -> Result<(), redb::Error> {
@@ -252,7 +256,7 @@
         {
             let mut state = change.open_table(STATE)?;
             let mut put = |key: &str, value: &[u8]| {
-                state.insert(key, sealed(key.as_bytes(), value).as_slice()).map(drop)
+                state.insert(key, with_hash(key.as_bytes(), value).as_slice()).map(drop)
             };
             if let Some(seat) = seat {
                 put(SEAT, &seat.to_le_bytes())?;
@@ -265,7 +269,7 @@
             }
             let mut entries = change.open_table(ENTRIES)?;
             if let Some((index, _)) = &write.snapshot {
-                // A snapshot beyond all that is here takes the place of all of it.
+                // A snapshot beyond all stored entries replaces them.
                 let last = entries.last()?.map(|(last, _)| last.value());
                 if last.is_some_and(|last| last < *index) {
                     entries.retain(|_, _| false)?;
@@ -275,7 +279,7 @@
                 entries.retain_in::<u64, _>(*first.., |_, _| false)?;
             }
             for (index, entry) in &write.entries {
-                entries.insert(index, sealed(&index.to_le_bytes(), entry).as_slice())?;
+                entries.insert(index, with_hash(&index.to_le_bytes(), entry).as_slice())?;
             }
             if let Some(cut) = write.cut {
                 entries.retain_in::<u64, _>(..=cut, |_, _| false)?;
@@ -286,51 +290,53 @@
     }
 }
 
-/// Where a store is made before it has its name. The ending is added, as other files beside it may differ in theirs alone.
-fn unfinished(path: &Path) -> PathBuf {
+/// The temporary path of a store that is being written. The suffix is appended instead of replacing the extension, as
+/// other files in the directory may differ in their extension alone.
+fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".new");
     name.into()
 }
 
-/// A name beside a store's that no file has yet.
-fn free_name(path: &Path, what: &str) -> PathBuf {
+/// A path next to a store's that does not exist yet.
+fn unused_path(path: &Path, what: &str) -> PathBuf {
     let free = (1..).map(|n| path.with_extension(format!("{what}-{n}"))).find(|p| !p.exists());
     free.unwrap_or_else(|| path.with_extension(what))
 }
 
-/// The name of a file has to last as well.
-fn sync_folder(path: &Path) -> std::io::Result<()> {
+/// Syncs the directory of a file, so that its name survives a crash.
+fn sync_directory(path: &Path) -> std::io::Result<()> {
     match path.parent().filter(|p| !p.as_os_str().is_empty()) {
         Some(folder) => std::fs::File::open(folder)?.sync_all(),
         None => Ok(()),
     }
 }
 
-fn disk(path: &Path, e: impl std::fmt::Display) -> StoreError {
+fn disk_error(path: &Path, e: impl std::fmt::Display) -> StoreError {
     StoreError::Disk { path: path.to_owned(), what: e.to_string() }
 }
 
-/// A store behind a thread of its own, so that a slow disk holds up nobody.
+/// A store that is written by its own thread, so that a slow disk blocks no one else.
 pub struct StoreWriter {
     writes: SyncSender<Write>,
 }
 
 impl StoreWriter {
-    /// Starts the thread; `told` hears each write's number once it is on the disk, or why none will be any more.
+    /// Starts the thread. `on_result` gets each write's number once it is on the disk, or the error after which the
+    /// thread ends.
     ///
     /// # Errors
-    /// Where the system gives no thread.
+    /// If the thread can't be started.
     pub fn start(
-        store: Store, mut told: impl FnMut(Result<u64, String>) + Send + 'static,
+        store: Store, mut on_result: impl FnMut(Result<u64, String>) + Send + 'static,
     ) -> std::io::Result<Self> {
-        // Twice what a voter leaves unacknowledged before it steps down.
-        let (writes, waiting) = sync_channel::<Write>(2 * WRITES);
+        // Twice the number of unacknowledged writes at which a voter steps down.
+        let (writes, waiting) = sync_channel::<Write>(2 * MAX_PENDING_WRITES);
         std::thread::Builder::new().name("rules-disk".into()).spawn(move || {
             while let Ok(write) = waiting.recv() {
                 let kept = store.keep(&write).map(|()| write.number).map_err(|e| e.to_string());
                 let failed = kept.is_err();
-                told(kept);
+                on_result(kept);
                 if failed {
                     return;
                 }
@@ -339,14 +345,14 @@
         Ok(StoreWriter { writes })
     }
 
-    /// Hands a write over.
+    /// Queues a write.
     ///
     /// # Errors
-    /// Where the disk is so far behind, or gone, that it can't be: the voter must take no further part.
+    /// If the queue is full or the thread has ended: the voter must take no further part.
     pub fn keep(&self, write: Write) -> Result<(), &'static str> {
         self.writes.try_send(write).map_err(|e| match e {
-            TrySendError::Full(_) => "it is far behind",
-            TrySendError::Disconnected(_) => "it has stopped",
+            TrySendError::Full(_) => "its write queue is full",
+            TrySendError::Disconnected(_) => "its writer has stopped",
         })
     }
 }
@@ -356,17 +362,17 @@
     use std::collections::BTreeMap;
 
     use super::*;
-    use crate::log::encoded;
+    use crate::log::encode_proto;
     use crate::machine::Seat;
 
-    struct Folder(PathBuf);
+    struct TempDir(PathBuf);
 
-    impl Folder {
+    impl TempDir {
         fn new(name: &str) -> Self {
             let path = std::env::temp_dir().join(format!("sandgap-store-{name}-{}", std::process::id()));
             let _ = std::fs::remove_dir_all(&path);
-            std::fs::create_dir_all(&path).expect("a folder");
-            Folder(path)
+            std::fs::create_dir_all(&path).expect("a directory");
+            TempDir(path)
         }
 
         fn file(&self) -> PathBuf {
@@ -374,7 +380,7 @@
         }
     }
 
-    impl Drop for Folder {
+    impl Drop for TempDir {
         fn drop(&mut self) {
             let _ = std::fs::remove_dir_all(&self.0);
         }
@@ -389,14 +395,14 @@
     fn entries(range: std::ops::Range<u64>, term: u64) -> Vec<(u64, Vec<u8>)> {
         let entry =
             |index| raft::eraftpb::Entry { index, term, data: vec![7; 40].into(), ..Default::default() };
-        range.map(|i| (i, encoded(&entry(i)))).collect()
+        range.map(|i| (i, encode_proto(&entry(i)))).collect()
     }
 
     fn hard(term: u64, commit: u64) -> Option<Vec<u8>> {
-        Some(encoded(&raft::eraftpb::HardState { term, vote: 2, commit, ..Default::default() }))
+        Some(encode_proto(&raft::eraftpb::HardState { term, vote: 2, commit, ..Default::default() }))
     }
 
-    /// Some writes, as a voter makes them.
+    /// Typical writes of a voter.
     fn writes() -> Vec<Write> {
         vec![
             Write { number: 1, hard: hard(1, 1), entries: entries(2..6, 1), ..Write::default() },
@@ -419,18 +425,18 @@
     }
 
     #[test]
-    fn what_was_kept_is_there_after_each_write() {
-        let folder = Folder::new("kept");
-        let mut wanted = founding();
-        let mut store = Store::create(&folder.file(), &wanted).expect("made");
-        assert!(matches!(Store::create(&folder.file(), &wanted), Err(StoreError::Exists(_))));
+    fn a_reopened_store_contains_all_writes() {
+        let dir = TempDir::new("kept");
+        let mut expected = founding();
+        let mut store = Store::create(&dir.file(), &expected).expect("made");
+        assert!(matches!(Store::create(&dir.file(), &expected), Err(StoreError::Exists(_))));
         for write in writes().into_iter().take(3) {
             store.keep(&write).expect("kept");
-            wanted.put(&write);
+            expected.put(&write);
             drop(store);
-            store = match Store::open(&folder.file()) {
+            store = match Store::open(&dir.file()) {
                 Opened::Sound(store, saved) => {
-                    assert_eq!(saved, wanted);
+                    assert_eq!(saved, expected);
                     store
                 }
                 _ => panic!("not sound after write {}", write.number),
@@ -439,28 +445,29 @@
     }
 
     #[test]
-    fn a_missing_store_is_missing_and_an_emptied_one_damaged() {
-        let folder = Folder::new("missing");
-        assert!(matches!(Store::open(&folder.file()), Opened::Missing));
-        std::fs::write(folder.file(), b"").expect("written");
-        assert!(!matches!(Store::open(&folder.file()), Opened::Sound(..)));
-        std::fs::write(folder.file(), vec![0x5a; 70_000]).expect("written");
-        assert!(matches!(Store::open(&folder.file()), Opened::Damaged(_)));
-        let aside = Store::set_aside(&folder.file()).expect("moved");
-        assert!(aside.exists() && !folder.file().exists());
+    fn missing_empty_and_foreign_files_are_told_apart() {
+        let dir = TempDir::new("missing");
+        assert!(matches!(Store::open(&dir.file()), Opened::Missing));
+        std::fs::write(dir.file(), b"").expect("written");
+        assert!(!matches!(Store::open(&dir.file()), Opened::Sound(..)));
+        std::fs::write(dir.file(), vec![0x5a; 70_000]).expect("written");
+        assert!(matches!(Store::open(&dir.file()), Opened::Damaged(_)));
+        let aside = Store::set_aside(&dir.file()).expect("moved");
+        assert!(aside.exists() && !dir.file().exists());
     }
 
-    /// A store with a flipped bit or a torn end is either found out or tells what it was told, nothing else.
+    /// A store with a flipped bit or a truncated file is either detected as damaged or returns exactly what was
+    /// written.
     #[test]
-    fn a_flipped_bit_or_a_torn_end_is_never_believed() {
-        let folder = Folder::new("flipped");
-        let store = Store::create(&folder.file(), &founding()).expect("made");
+    fn flipped_bits_and_truncation_never_change_what_is_read() {
+        let dir = TempDir::new("flipped");
+        let store = Store::create(&dir.file(), &founding()).expect("made");
         for write in writes().iter().take(3) {
             store.keep(write).expect("kept");
         }
         drop(store);
-        let good = std::fs::read(folder.file()).expect("read");
-        let wanted = saved_at(&folder.file()).expect("sound");
+        let good = std::fs::read(dir.file()).expect("read");
+        let expected = saved_at(&dir.file()).expect("sound");
         let mut rng = fastrand::Rng::with_seed(3);
         let written: Vec<usize> = (0..good.len()).filter(|i| good[*i] != 0).collect();
         let mut found = 0;
@@ -471,9 +478,9 @@
                 0 | 1 => bad[at] ^= 1 << rng.u32(..8),
                 _ => bad.truncate(at),
             }
-            std::fs::write(folder.file(), &bad).expect("written");
-            match saved_at(&folder.file()) {
-                Some(saved) => assert_eq!(saved, wanted, "round {round}, byte {at}"),
+            std::fs::write(dir.file(), &bad).expect("written");
+            match saved_at(&dir.file()) {
+                Some(saved) => assert_eq!(saved, expected, "round {round}, byte {at}"),
                 None => found += 1,
             }
         }
@@ -481,44 +488,44 @@
     }
 
     #[test]
-    fn a_store_that_another_has_open_is_not_taken_for_damaged() {
-        let folder = Folder::new("busy");
-        let store = Store::create(&folder.file(), &founding()).expect("made");
-        assert!(matches!(Store::open(&folder.file()), Opened::Unavailable(_)));
+    fn a_store_that_is_open_elsewhere_is_unavailable_not_damaged() {
+        let dir = TempDir::new("busy");
+        let store = Store::create(&dir.file(), &founding()).expect("made");
+        assert!(matches!(Store::open(&dir.file()), Opened::Unavailable(_)));
         drop(store);
-        assert!(matches!(Store::open(&folder.file()), Opened::Sound(..)));
+        assert!(matches!(Store::open(&dir.file()), Opened::Sound(..)));
     }
 
     #[test]
-    fn a_store_that_is_renewed_holds_the_same_and_what_was_half_made_is_in_nobodys_way() {
-        let folder = Folder::new("renewed");
-        std::fs::write(unfinished(&folder.file()), b"half").expect("written");
-        let store = Store::create(&folder.file(), &founding()).expect("made");
+    fn a_renewed_store_has_the_same_contents_and_leftover_temporary_files_are_replaced() {
+        let dir = TempDir::new("renewed");
+        std::fs::write(temporary_path(&dir.file()), b"half").expect("written");
+        let store = Store::create(&dir.file(), &founding()).expect("made");
         for write in writes().iter().take(3) {
             store.keep(write).expect("kept");
         }
-        assert!(matches!(Store::renew(&folder.file()), Opened::Unavailable(_)), "it is still open");
+        assert!(matches!(Store::renew(&dir.file()), Opened::Unavailable(_)), "it is still open");
         drop(store);
-        let before = saved_at(&folder.file()).expect("sound");
-        let Opened::Sound(renewed, saved) = Store::renew(&folder.file()) else { panic!("not renewed") };
+        let before = saved_at(&dir.file()).expect("sound");
+        let Opened::Sound(renewed, saved) = Store::renew(&dir.file()) else { panic!("not renewed") };
         assert_eq!(saved, before);
         renewed.keep(&Write { number: 1, hard: hard(4, 8), ..Write::default() }).expect("kept");
         drop(renewed);
-        let after = saved_at(&folder.file()).expect("sound");
+        let after = saved_at(&dir.file()).expect("sound");
         assert_eq!(after, Saved { hard: hard(4, 8), ..before });
-        assert!(!unfinished(&folder.file()).exists());
+        assert!(!temporary_path(&dir.file()).exists());
     }
 
     #[test]
-    fn a_disk_that_fails_says_so_once_and_a_thread_keeps_the_order() {
-        let folder = Folder::new("thread");
-        let store = Store::create(&folder.file(), &founding()).expect("made");
-        let (sender, told) = std::sync::mpsc::channel();
+    fn the_writer_thread_acknowledges_writes_in_order() {
+        let dir = TempDir::new("thread");
+        let store = Store::create(&dir.file(), &founding()).expect("made");
+        let (sender, results) = std::sync::mpsc::channel();
         let writer = StoreWriter::start(store, move |kept| drop(sender.send(kept))).expect("a thread");
         for write in writes().into_iter().take(3) {
             writer.keep(write).expect("handed over");
         }
-        let numbers: Vec<u64> = (0..3).map(|_| told.recv().expect("told").expect("kept")).collect();
+        let numbers: Vec<u64> = (0..3).map(|_| results.recv().expect("sent").expect("kept")).collect();
         assert_eq!(numbers, [1, 2, 3]);
     }
 }
--- a/crates/sandgap-agree/src/tenure.rs
+++ b/crates/sandgap-agree/src/tenure.rs
@@ -1,7 +1,7 @@
-//! A process's own place among the lives: it enrols, holds a lease on being there, and hears when it is over.
+//! The enrolment of this process: it enrols as a life, holds a lease on it, and learns when the life has ended.
 //!
-//! The lease ends a stated span after the question, as the rules' own does. An answer that says that this process is
-//! not enrolled any more ends its life for good: it gives up what it had in hand, and enrols anew under another number.
+//! Like the lease on the rules, this lease ends a fixed time after the request. A grant that says that this process is
+//! no longer enrolled ends its life for good: the process gives up its requests in flight and enrols as a new life.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,73 +13,73 @@
 use crate::terms::Span;
 use crate::words::Tenure;
 
-/// Who is enrolled.
+/// The membership list: enrolled lives.
 pub type Roll = Rc<BTreeMap<Life, Enrolled>>;
 
-/// What has changed.
+/// A change of the enrolment or of the membership list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// This process has a number and may act under it.
+    /// This process is enrolled under this life and may act.
     Begun(Life),
-    /// It may not any more, and never will again under that one.
+    /// This life has ended and never acts again.
     Ended(Life),
-    /// It is the heir to what another left.
+    /// This process has become the heir to an ended life.
     Heir(Claim),
-    /// Who is enrolled, and who ended a while ago.
+    /// A new membership list: its number, the enrolled lives, and those that ended recently.
     Roll(u64, Roll, Roll),
 }
 
-/// See the module.
+/// The enrolment of a process, see the module.
 #[derive(Debug)]
 pub struct Holder {
     me: Enrolled,
     life: Option<Life>,
     lease: Lease,
-    /// What it is heir to, and whether that has been settled here.
+    /// The ended lives for which it acts, and whether it has settled their requests.
     claims: BTreeMap<Epoch, (Claim, bool)>,
     roll: (u64, Roll),
-    /// A list that is newer than the one known here.
-    newer: bool,
-    /// It has taken leave: nothing is done under this life any more, nor under another.
+    /// Whether a newer membership list is known to exist.
+    roll_outdated: bool,
+    /// Whether it is shutting down: it acts neither under this life nor under a new one.
     leaving: bool,
 }
 
 impl Holder {
-    /// One that is not enrolled yet. The draw is chance, anew at each start, and not 0.
+    /// A process that is not enrolled yet. `me.draw` is random, new at each start, and not 0.
     pub fn new(me: Enrolled) -> Self {
         let (life, lease, claims, roll) = Default::default();
-        Holder { me, life, lease, claims, roll, newer: false, leaving: false }
+        Holder { me, life, lease, claims, roll, roll_outdated: false, leaving: false }
     }
 
-    /// What tells this process from others.
+    /// The random number that identifies this process.
     pub fn draw(&self) -> u64 {
         self.me.draw
     }
 
-    /// Its number, if it has one and has not heard that it is over.
+    /// Its life, if it is enrolled and has not learned that the life has ended.
     pub fn life(&self) -> Option<Life> {
         self.life
     }
 
-    /// Whether it has taken leave and that has been heard.
+    /// Whether it has left and a grant has confirmed that.
     pub fn has_left(&self) -> bool {
         self.leaving && self.life.is_none()
     }
 
-    /// The right to act under its number now.
+    /// The right to act under its life now.
     pub fn right(&self, now: Time) -> Option<Right<'_>> {
         self.life.filter(|_| !self.leaving)?;
         self.lease.right(now)
     }
 
-    /// Who is enrolled, as heard last.
+    /// The last known membership list, with its number.
     pub fn roll(&self) -> &(u64, Roll) {
         &self.roll
     }
 
-    /// An answer to what was asked at `asked`.
+    /// Processes the grant for a lease request made at `asked`.
     pub fn granted(&mut self, asked: Time, tenure: &Tenure, span: Span, turns: &mut Vec<Turn>) {
-        self.newer = tenure.roll > self.roll.0;
+        self.roll_outdated = tenure.roll > self.roll.0;
         match (self.life, tenure.life) {
             (None, Some(life)) if !self.leaving => {
                 self.life = Some(life);
@@ -89,24 +89,24 @@
             (Some(old), Some(life)) if old == life => {
                 self.lease.granted(asked, span.bound, span.drift);
             }
-            (Some(old), _) => self.end(old, turns),
+            (Some(old), _) => self.end_life(old, turns),
             (None, _) => {}
         }
         if self.life.is_some() && self.life == tenure.life {
-            self.inherit(&tenure.claims, turns);
+            self.update_claims(&tenure.claims, turns);
         }
     }
 
-    fn end(&mut self, old: Life, turns: &mut Vec<Turn>) {
+    fn end_life(&mut self, old: Life, turns: &mut Vec<Turn>) {
         self.life = None;
         self.lease.give_back();
         self.claims.clear();
-        // The next number is another process's, as far as the log knows.
+        // A new random number, as the log must take the next life for another process.
         self.me.draw = drawn(self.me.draw).max(1);
         turns.push(Turn::Ended(old));
     }
 
-    fn inherit(&mut self, claims: &[Claim], turns: &mut Vec<Turn>) {
+    fn update_claims(&mut self, claims: &[Claim], turns: &mut Vec<Turn>) {
         self.claims.retain(|epoch, _| claims.iter().any(|c| c.epoch == *epoch));
         for claim in claims {
             self.claims.entry(claim.epoch).or_insert_with(|| {
@@ -116,39 +116,39 @@
         }
     }
 
-    /// A list of who is enrolled.
-    pub fn heard_roll(
+    /// Takes over a membership list, if it is newer than the known one.
+    pub fn receive_roll(
         &mut self, roll: u64, all: Vec<(Life, Enrolled)>, departed: Vec<(Life, Enrolled)>,
         turns: &mut Vec<Turn>,
     ) {
         if roll > self.roll.0 {
             self.roll = (roll, Rc::new(all.into_iter().collect()));
-            self.newer = false;
+            self.roll_outdated = false;
             let departed = Rc::new(departed.into_iter().collect());
             turns.push(Turn::Roll(roll, self.roll.1.clone(), departed));
         }
     }
 
-    /// Whether a newer list is to be asked for, and since which.
-    pub fn wants_roll(&self) -> Option<u64> {
-        self.newer.then_some(self.roll.0)
+    /// The number of the known membership list, if a newer one should be fetched.
+    pub fn outdated_roll(&self) -> Option<u64> {
+        self.roll_outdated.then_some(self.roll.0)
     }
 
-    /// What another left has been settled.
+    /// This process has settled the requests of an ended life.
     pub fn settle(&mut self, epoch: Epoch) {
         if let Some((_, settled)) = self.claims.get_mut(&epoch) {
             *settled = true;
         }
     }
 
-    /// Takes leave: from here on nothing is done under this life.
+    /// Gives up the lease for a shutdown: from here on nothing is done under this life.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.lease.give_back();
     }
 
-    /// What is to be put into the log. Said again with each question until an answer shows that it is there.
-    pub fn wishes(&self) -> Vec<LifeEntry> {
+    /// Entries that voters should propose. Sent with each lease request until a grant shows that they are applied.
+    pub fn entries_to_propose(&self) -> Vec<LifeEntry> {
         let settled = self.claims.values().filter(|(_, settled)| *settled);
         let mut all: Vec<LifeEntry> = settled.map(|(c, _)| LifeEntry::Settle(c.clone())).collect();
         match self.life {
@@ -191,61 +191,65 @@
     }
 
     #[test]
-    fn it_acts_once_it_has_a_number_and_until_its_lease_ends() {
+    fn it_acts_from_enrolment_until_its_lease_ends() {
         let mut h = holder();
-        assert!(matches!(h.wishes()[..], [LifeEntry::Enrol(_)]));
+        assert!(matches!(h.entries_to_propose()[..], [LifeEntry::Enrol(_)]));
         assert!(grant(&mut h, 0, None, &[]).is_empty());
         assert_eq!(grant(&mut h, 100, Some(5), &[]), [Turn::Begun(5)]);
-        assert!(h.wishes().is_empty());
+        assert!(h.entries_to_propose().is_empty());
         assert!(h.right(ms(1099)).is_some());
         assert!(h.right(ms(1100)).is_none());
     }
 
     #[test]
-    fn an_answer_that_knows_it_no_more_ends_its_life_for_good() {
+    fn a_grant_without_its_life_ends_the_life() {
         let mut h = holder();
         grant(&mut h, 0, Some(5), &[claim(9)]);
         assert_eq!(grant(&mut h, 100, None, &[]), [Turn::Ended(5)]);
         assert!(h.right(ms(101)).is_none());
-        assert_ne!(h.draw(), 77, "its old draw must not bring the old number back");
+        assert_ne!(h.draw(), 77, "a repeated draw would match the old enrolment");
         assert_eq!(grant(&mut h, 200, Some(6), &[claim(9)])[0], Turn::Begun(6));
-        assert_eq!(grant(&mut h, 300, Some(8), &[]), [Turn::Ended(6)], "the number is another's");
+        assert_eq!(
+            grant(&mut h, 300, Some(8), &[]),
+            [Turn::Ended(6)],
+            "the grant names the life of another process"
+        );
     }
 
     #[test]
-    fn a_claim_is_told_once_and_settled_until_the_log_has_it() {
+    fn a_claim_is_reported_once_and_settled_until_it_is_applied() {
         let mut h = holder();
         grant(&mut h, 0, Some(5), &[]);
         assert_eq!(grant(&mut h, 1, Some(5), &[claim(9)]), [Turn::Heir(claim(9))]);
         assert!(grant(&mut h, 2, Some(5), &[claim(9)]).is_empty());
         h.settle(9);
-        assert_eq!(h.wishes(), [LifeEntry::Settle(claim(9))]);
+        assert_eq!(h.entries_to_propose(), [LifeEntry::Settle(claim(9))]);
         grant(&mut h, 3, Some(5), &[]);
-        assert!(h.wishes().is_empty());
+        assert!(h.entries_to_propose().is_empty());
     }
 
     #[test]
-    fn who_has_taken_leave_does_nothing_more_and_says_so_until_it_is_heard() {
+    fn a_leaving_process_fences_itself_until_confirmed() {
         let mut h = holder();
         grant(&mut h, 0, Some(5), &[]);
         h.leave();
         assert!(h.right(ms(1)).is_none());
         assert!(grant(&mut h, 2, Some(5), &[]).is_empty());
-        assert!(h.right(ms(3)).is_none(), "a late answer gives nothing back");
-        assert_eq!(h.wishes(), [LifeEntry::Fence { life: 5, told: true }]);
+        assert!(h.right(ms(3)).is_none(), "a late grant does not renew the lease");
+        assert_eq!(h.entries_to_propose(), [LifeEntry::Fence { life: 5, told: true }]);
         assert_eq!(grant(&mut h, 4, None, &[]), [Turn::Ended(5)]);
-        assert!(h.has_left() && h.wishes().is_empty());
+        assert!(h.has_left() && h.entries_to_propose().is_empty());
     }
 
     #[test]
-    fn older_lists_change_nothing() {
+    fn an_older_membership_list_is_ignored() {
         let mut h = holder();
         grant(&mut h, 0, Some(5), &[]);
-        assert_eq!(h.wants_roll(), Some(0));
+        assert_eq!(h.outdated_roll(), Some(0));
         let mut turns = Vec::new();
         let me = (5, Enrolled { draw: 77, name: "p1".into(), zone: None });
-        h.heard_roll(4, vec![me], vec![], &mut turns);
-        h.heard_roll(3, vec![], vec![], &mut turns);
-        assert_eq!((turns.len(), h.roll().1.len(), h.wants_roll()), (1, 1, None));
+        h.receive_roll(4, vec![me], vec![], &mut turns);
+        h.receive_roll(3, vec![], vec![], &mut turns);
+        assert_eq!((turns.len(), h.roll().1.len(), h.outdated_roll()), (1, 1, None));
     }
 }
--- a/crates/sandgap-agree/src/terms.rs
+++ b/crates/sandgap-agree/src/terms.rs
@@ -1,43 +1,43 @@
-//! What an installation states about time, on which all parts of a proxy stand.
+//! Timing parameters of an installation.
 
 use std::time::Duration;
 
 use sandgap_fleet::Drift;
 
-use crate::limits::HOLD;
+use crate::limits::PROPOSAL_TIMEOUT;
 
-/// What the stated time asks of a proxy.
+/// The bound T and the clock drift, from which lease lengths follow.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
-    /// T: contradicting rules are acted on together for no longer than this, in true time.
+    /// T: the longest time for which proxies may act on contradicting rules at once, in true time.
     pub bound: Duration,
-    /// How far a clock may drift.
+    /// How far a clock may drift from true time.
     pub drift: Drift,
 }
 
-/// What the installation states.
+/// The timing parameters of a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// The stated time, and the drift of clocks.
+    /// The bound T and the clock drift.
     pub span: Span,
-    /// Between two looks of a voter.
+    /// The interval of a voter's timer.
     pub tick: Duration,
-    /// Contradicting versions are kept apart by waiting until old leases have ended, instead of letting them overlap
-    /// for T at the most.
+    /// Whether contradicting versions are kept apart by waiting until the old leases have ended, instead of letting
+    /// them overlap for at most T.
     pub apart: bool,
-    /// See [`HOLD`].
+    /// See [`PROPOSAL_TIMEOUT`].
     pub hold: Duration,
 }
 
 impl Terms {
-    /// Terms for a stated time: the voters' pace follows it, so that a lost leader is followed by another within
-    /// half of it, and leases do not lapse meanwhile.
+    /// Derives the parameters from the bound T. The tick follows it, so that a lost leader is replaced within half of
+    /// T, before leases lapse.
     pub fn new(span: Span, apart: bool) -> Self {
-        Terms { span, tick: (span.bound / 50).max(Duration::from_millis(5)), apart, hold: HOLD }
+        Terms { span, tick: (span.bound / 50).max(Duration::from_millis(5)), apart, hold: PROPOSAL_TIMEOUT }
     }
 
-    /// A proxy that has not been heard of for so long holds no lease: T, and as much again as a question may be on
-    /// its way.
+    /// After this long without a lease request, a proxy holds no lease: T, plus half of T for the time that a request
+    /// may be under way.
     pub fn live(&self) -> Duration {
         self.span.drift.at_least(self.span.bound) + self.span.bound / 2
     }
--- a/crates/sandgap-agree/src/voter/lead.rs
+++ b/crates/sandgap-agree/src/voter/lead.rs
@@ -1,55 +1,61 @@
-//! What a leader does: about the version put forward, about lives, for riders, for voters that lag.
+//! The leader's decisions: about the pending version, lives, entries of riders, and voters that lag.
 
 use raft::{ProgressState, SnapshotStatus};
 use sandgap_fleet::Time;
 
-use super::{AGAIN, Action, ELECTION, Voter};
-use crate::limits::{MEMBERS, REMEMBER};
+use super::{Action, ELECTION_TICKS, REPROPOSE_TICKS, Voter};
+use crate::limits::{DEPARTED_RETENTION, MAX_MEMBERS};
 use crate::lives::{Life, LifeEntry};
 use crate::machine::{Entry, Proposal};
 use crate::rider::{Known, Tag, Wish};
 use crate::rulebook::{Rulebook, Version, digest};
 use crate::words::{Report, Word};
 
-/// Ticks after which a snapshot counts as lost, if nothing was heard of the voter's having it.
-const SNAPSHOT: u64 = 3 * ELECTION as u64;
+/// Ticks after which a snapshot that its receiver has not acknowledged counts as lost.
+const SNAPSHOT_TIMEOUT_TICKS: u64 = 3 * ELECTION_TICKS as u64;
 
 impl Voter {
-    /// What the leader does about the version put forward.
-    pub(super) fn decide(&mut self, now: Time) {
+    /// Proposes the next entry about lives and the pending version, if this voter leads.
+    pub(super) fn decide_pending(&mut self, now: Time) {
         if !self.leads() {
-            self.leading = None;
+            self.leading_since = None;
             return;
         }
-        let led = *self.leading.get_or_insert(now);
+        let led = *self.leading_since.get_or_insert(now);
         self.decide_lives(now, led);
         let Some(version) = self.machine.pending() else { return };
-        // Who has not asked since this one leads may still be there: all that hold a lease have asked within its span.
-        if now < led + self.terms.live() || self.ticks < self.proposed + AGAIN && self.proposed > 0 {
+        // Members that have not asked since this voter became leader may still hold a lease. After this wait, every
+        // holder has asked.
+        if now < led + self.terms.live()
+            || self.ticks < self.proposed_tick + REPROPOSE_TICKS && self.proposed_tick > 0
+        {
             return;
         }
         let Some(entry) = self.decision(now, version) else { return };
         if self.propose(&entry) {
-            self.proposed = self.ticks;
+            self.proposed_tick = self.ticks;
         }
     }
 
-    /// What the leader does about lives. Each is said again only after a while.
+    /// Proposes the entries about lives that are due, for each life at most every [`REPROPOSE_TICKS`].
     pub(super) fn decide_lives(&mut self, now: Time, led: Time) {
-        let due = self.watch.decide(now, led, self.machine.lives(), self.terms.span, REMEMBER);
+        let due =
+            self.monitor.due_entries(now, led, self.machine.lives(), self.terms.span, DEPARTED_RETENTION);
         for entry in due {
             let (LifeEntry::Fence { life, .. } | LifeEntry::Claim { life, .. } | LifeEntry::Forget(life)) =
                 entry
             else {
                 continue;
             };
-            let again = self.life_proposed.get(&life).is_none_or(|at| self.ticks >= at + AGAIN);
-            if again && self.propose(&Entry::Life(entry)) {
+            let is_due = self.life_proposed.get(&life).is_none_or(|at| self.ticks >= at + REPROPOSE_TICKS);
+            if is_due && self.propose(&Entry::Life(entry)) {
                 self.life_proposed.insert(life, self.ticks);
             }
         }
     }
 
+    /// The entry to propose about the pending version: abandon it, switch to it, or close the version in force first.
+    /// `None` to wait.
     pub(super) fn decision(&self, now: Time, version: Version) -> Option<Entry> {
         let view = self.view(now);
         let (mut refused, mut missing) = (Vec::new(), Vec::new());
@@ -60,12 +66,12 @@
                 _ => missing.push((name.clone(), "has not said that it holds the version".to_owned())),
             }
         }
-        refused.extend(self.bars_pending(version));
+        refused.extend(self.pending_block_reason(version));
         if !refused.is_empty() {
             return Some(Entry::Abandon(version, refused));
         }
         if !missing.is_empty() {
-            let since = self.pending.filter(|(v, _)| *v == version).map_or(now, |(_, at)| at);
+            let since = self.pending_since.filter(|(v, _)| *v == version).map_or(now, |(_, at)| at);
             return (now >= since + self.terms.hold).then_some(Entry::Abandon(version, missing));
         }
         let apart = self.terms.apart && self.machine.version(version).is_some_and(|r| r.contradicts);
@@ -75,53 +81,54 @@
         if !self.machine.is_closed() {
             return Some(Entry::Close(version));
         }
-        // All leases asked for before the close have ended by then, on whichever clock.
+        // By then, all leases requested before the close have ended, even on a drifting clock.
         let span = self.terms.span;
-        let closed = self.closed.filter(|(v, _)| *v == version)?.1;
+        let closed = self.closed_since.filter(|(v, _)| *v == version)?.1;
         (now > closed + span.drift.at_least(span.bound)).then_some(Entry::Switch(version))
     }
 
-    /// A leader that hears the last report decides at once instead of at its next tick.
-    pub(super) fn decide_soon(&mut self, now: Time) {
-        if self.leads() && self.leading.is_some() {
-            self.decide(now);
+    /// Lets a leader decide at once when a report arrives, instead of at its next tick.
+    pub(super) fn decide_if_leading(&mut self, now: Time) {
+        if self.leads() && self.leading_since.is_some() {
+            self.decide_pending(now);
         }
     }
 
-    pub(super) fn reported(&mut self, now: Time, who: String, report: Report) {
-        self.watch.heard(now, report.draw);
-        // A report that was overtaken on the way must not unsay the later one; a new process's numbers begin anywhere,
-        // and are heard once the old one's are no longer fresh.
-        let overtaken = |k: &Known| report.serial < k.report.serial && now < k.at + self.terms.live() / 6;
-        if self.members.get(&who).is_some_and(overtaken) {
+    pub(super) fn record_report(&mut self, now: Time, who: String, report: Report) {
+        self.monitor.record_ask(now, report.draw);
+        // A reordered older report must not replace a later one. The numbers of a new process start at a random value,
+        // so a lower number is accepted once the known report is no longer fresh.
+        let reordered = |k: &Known| report.serial < k.report.serial && now < k.at + self.terms.live() / 6;
+        if self.members.get(&who).is_some_and(reordered) {
             return;
         }
-        if self.members.len() < MEMBERS || self.members.contains_key(&who) {
+        if self.members.len() < MAX_MEMBERS || self.members.contains_key(&who) {
             self.members.insert(who, Known { at: now, report });
         }
     }
 
-    /// A leader lets an heir know at once; it would hear with its next question at any rate.
-    pub(super) fn tell_heir(&mut self, life: Life, heir: Life, out: &mut Vec<Action>) {
+    /// Lets a leader notify an heir at once instead of with its next grant.
+    pub(super) fn notify_heir(&mut self, life: Life, heir: Life, out: &mut Vec<Action>) {
         let Some(heir) = self.machine.lives().enrolled().get(&heir).filter(|_| self.leads()) else { return };
         out.push(Action::Note(format!("lives: '{}' is the heir to life {life}", heir.name)));
-        out.push(Action::Say(heir.name.clone(), Word::Heir));
+        out.push(Action::Send(heir.name.clone(), Word::Heir));
     }
 
-    /// Notes when what is under way was first seen here.
-    pub(super) fn times(&mut self, now: Time) {
+    /// Records when the pending version, and its close, were first seen here.
+    pub(super) fn record_first_seen(&mut self, now: Time) {
         let pending = self.machine.pending();
-        if self.pending.map(|(v, _)| v) != pending {
-            self.pending = pending.map(|v| (v, now));
+        if self.pending_since.map(|(v, _)| v) != pending {
+            self.pending_since = pending.map(|v| (v, now));
         }
         let closed = pending.filter(|_| self.machine.is_closed());
-        if self.closed.map(|(v, _)| v) != closed {
-            self.closed = closed.map(|v| (v, now));
+        if self.closed_since.map(|(v, _)| v) != closed {
+            self.closed_since = closed.map(|v| (v, now));
         }
     }
 
-    /// A snapshot whose answer was lost would keep its voter waiting for ever: the engine leaves that to its caller.
-    pub(super) fn give_up_snapshots(&mut self) {
+    /// Reports snapshots that are not acknowledged in time as failed. Without this, a lost acknowledgement would make
+    /// the receiver wait forever: the engine leaves this timeout to its caller.
+    pub(super) fn fail_lost_snapshots(&mut self) {
         let prs = self.node.raft.prs();
         let under_way = |id: u64| prs.get(id).is_some_and(|p| p.state == ProgressState::Snapshot);
         self.snapshots.retain(|id, _| under_way(*id));
@@ -130,50 +137,54 @@
                 self.snapshots.entry(*id).or_insert(self.ticks);
             }
         }
-        let lost: Vec<u64> =
-            self.snapshots.iter().filter(|(_, at)| self.ticks > **at + SNAPSHOT).map(|(id, _)| *id).collect();
+        let lost: Vec<u64> = self
+            .snapshots
+            .iter()
+            .filter(|(_, at)| self.ticks > **at + SNAPSHOT_TIMEOUT_TICKS)
+            .map(|(id, _)| *id)
+            .collect();
         for id in lost {
             self.snapshots.remove(&id);
             self.node.report_snapshot(id, SnapshotStatus::Failure);
         }
     }
 
-    /// Puts into the log what riders want there. The same is said again only after a while.
-    pub(super) fn lead_riders(&mut self, now: Time) {
-        let Some(led) = self.leading.filter(|_| self.leads()) else { return };
+    /// Proposes the entries that riders ask for, each at most every [`REPROPOSE_TICKS`].
+    pub(super) fn propose_for_riders(&mut self, now: Time) {
+        let Some(led) = self.leading_since.filter(|_| self.leads()) else { return };
         let (terms, machine, members) = (&self.terms, &self.machine, &self.members);
         let view = crate::rider::View { now, led, terms, machine, members };
         for (tag, wish) in self.riders.lead(&view) {
             match wish {
-                Wish::Own(entry) => self.wish(tag, entry),
-                Wish::Rules(book, why) => self.wish_rules(tag, &book, why),
+                Wish::Own(entry) => self.propose_for_rider(tag, entry),
+                Wish::Rules(book, why) => self.propose_rules(tag, &book, why),
             }
         }
     }
 
-    fn wish(&mut self, tag: Tag, entry: Vec<u8>) {
-        let wished = (tag, entry);
-        let again = self.wished.get(&wished).is_none_or(|at| self.ticks >= at + AGAIN);
-        if again && self.propose(&Entry::Rider(tag, wished.1.clone())) {
-            self.wished.insert(wished, self.ticks);
+    fn propose_for_rider(&mut self, tag: Tag, entry: Vec<u8>) {
+        let key = (tag, entry);
+        let is_due = self.rider_proposed.get(&key).is_none_or(|at| self.ticks >= at + REPROPOSE_TICKS);
+        if is_due && self.propose(&Entry::Rider(tag, key.1.clone())) {
+            self.rider_proposed.insert(key, self.ticks);
         }
     }
 
-    /// Other rules, unless some are under way already: then the wish is made again, on the ground of those.
-    fn wish_rules(&mut self, tag: Tag, book: &Rulebook, why: String) {
+    /// Proposes a rider's rules, unless a version is pending: the rider then asks again, based on that version.
+    fn propose_rules(&mut self, tag: Tag, book: &Rulebook, why: String) {
         let (Ok(book), None) = (book.encode(), self.machine.pending()) else { return };
         let parent = self.machine.standing();
-        let name = digest(&book);
-        let wished = (tag, [&name.0[..], &parent.to_le_bytes()].concat());
-        if self.wished.get(&wished).is_some_and(|at| self.ticks < at + AGAIN) {
+        let digest = digest(&book);
+        let key = (tag, [&digest.0[..], &parent.to_le_bytes()].concat());
+        if self.rider_proposed.get(&key).is_some_and(|at| self.ticks < at + REPROPOSE_TICKS) {
             return;
         }
-        // Not the same number twice: one that was abandoned may be wanted again, on the same ground.
-        let id = u64::from_le_bytes(name.0[..8].try_into().expect("eight of thirty-two"))
+        // The ticks make the id unique: an abandoned rulebook may be proposed again on the same parent.
+        let id = u64::from_le_bytes(digest.0[..8].try_into().expect("eight of thirty-two"))
             ^ self.ticks.rotate_left(32);
         let proposal = Proposal { id, parent, book, by: format!("{} as leader", self.name), why };
         if self.propose(&Entry::Propose(proposal)) {
-            self.wished.insert(wished, self.ticks);
+            self.rider_proposed.insert(key, self.ticks);
         }
     }
 }
--- a/crates/sandgap-agree/src/voter/seats.rs
+++ b/crates/sandgap-agree/src/voter/seats.rs
@@ -1,4 +1,4 @@
-//! Who votes, and how that changes while all runs.
+//! Changes of the set of voters at run time.
 
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
 use sandgap_fleet::Time;
@@ -8,24 +8,24 @@
 use crate::words::Seating;
 
 impl Voter {
-    /// Another set of voters; empty for well, else why not.
+    /// Changes the set of voters. Returns an empty text on success, else the reason for the refusal.
     pub fn seat_change(&mut self, now: Time, change: &Seating, out: &mut Vec<Action>) -> String {
         if !self.leads() {
             return match self.leader() {
-                Some(leader) => format!("'{leader}' leads: ask there"),
-                None => "nobody leads at present".into(),
+                Some(leader) => format!("this voter is not the leader: send the request to '{leader}'"),
+                None => "no leader is known here: the voters may be electing one; try again".into(),
             };
         }
-        let steps = match self.seating(change) {
+        let steps = match self.seat_changes(change) {
             Ok(steps) if steps.is_empty() => return String::new(),
             Ok(steps) => steps,
             Err(why) => return why,
         };
         if steps.iter().any(|(id, seat)| *id == self.seat && seat.is_none()) {
-            // The engine lets a leader that has been removed lead on, with nobody to follow it when it ends.
-            self.hand_over();
-            self.settle(now, out);
-            return "this voter leads, and hands the lead on before it goes: ask again".into();
+            // The engine lets a removed leader go on leading, without a successor when it stops.
+            self.transfer_leadership();
+            self.drive(now, out);
+            return "this voter is the leader and transfers leadership before its removal: try again".into();
         }
         let mut all = ConfChangeV2::default();
         let mut seats = Vec::new();
@@ -38,22 +38,24 @@
         let context = postcard::to_stdvec(&seats).unwrap_or_default();
         all.set_context(context.into());
         let done = self.node.propose_conf_change(Vec::new(), all);
-        self.settle(now, out);
-        done.map_or_else(|e| format!("the voters can't change now: {e}"), |()| String::new())
+        self.drive(now, out);
+        done.map_or_else(|e| format!("the set of voters can't be changed now: {e}"), |()| String::new())
     }
 
     /// The seats that a change fills or empties.
-    pub(super) fn seating(&self, change: &Seating) -> Result<Vec<(u64, Option<Seat>)>, String> {
+    pub(super) fn seat_changes(&self, change: &Seating) -> Result<Vec<(u64, Option<Seat>)>, String> {
         let of = |name: &str| self.machine.seats.iter().find(|(_, s)| s.name == name).map(|(id, _)| *id);
         match change {
-            Seating::Add(name, _) if of(name).is_some() => Err(format!("'{name}' is a voter already")),
+            Seating::Add(name, _) if of(name).is_some() => Err(format!("'{name}' is already a voter")),
             Seating::Add(name, address) => {
                 let seat = Seat { name: name.clone(), address: *address };
                 Ok(vec![(fresh_seat(name, self.applied), Some(seat))])
             }
-            Seating::Remove(_) if self.machine.seats.len() == 1 => Err("this is the last voter".into()),
+            Seating::Remove(_) if self.machine.seats.len() == 1 => {
+                Err("the last voter can't be removed".into())
+            }
             Seating::Remove(name) => {
-                of(name).map(|id| vec![(id, None)]).ok_or_else(|| format!("'{name}' is no voter"))
+                of(name).map(|id| vec![(id, None)]).ok_or_else(|| format!("'{name}' is not a voter"))
             }
             Seating::Rebuild { name, address, id } => match of(name) {
                 Some(old) if old == *id => Ok(Vec::new()),
@@ -61,7 +63,7 @@
                     let seat = Seat { name: name.clone(), address: *address };
                     Ok(vec![(*id, Some(seat)), (old, None)])
                 }
-                None => Err(format!("'{name}' is no voter")),
+                None => Err(format!("'{name}' is not a voter")),
             },
         }
     }
@@ -80,8 +82,7 @@
     }
 }
 
-/// The number of a seat that was never given: the name and where the log stands decide it, so that a repeated wish
-/// is the same wish.
+/// A new seat number, derived from the proxy's name and the log index, so that a repeated request gets the same number.
 pub fn fresh_seat(name: &str, index: u64) -> u64 {
     let hash = blake3::hash(format!("{index} {name}").as_bytes());
     let bytes: [u8; 8] = hash.as_bytes()[..8].try_into().expect("eight of thirty-two");
--- a/crates/sandgap-agree/src/words.rs
+++ b/crates/sandgap-agree/src/words.rs
@@ -1,4 +1,5 @@
-//! The words that proxies say to each other about rules, on one channel of the fleet's links.
+//! Messages that proxies exchange about rules, on one channel of the fleet's links. They are encoded with postcard:
+//! the order and the types of fields and variants are the wire format.
 
 use std::net::SocketAddr;
 
@@ -9,202 +10,202 @@
 use crate::rider::{Tag, Told};
 use crate::rulebook::{Digest, Version};
 
-/// What is in force and what is put forward, as a majority has it.
+/// The version in force and the pending one, as committed by a majority.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
-    /// How far the log had been applied: of two words the one further on is newer.
+    /// The index up to which the log had been applied: of two states the one with the higher index is newer.
     pub index: u64,
     /// The version in force; 0 before the first.
     pub version: Version,
-    /// Its content's name.
+    /// The digest of its rulebook.
     pub digest: Digest,
-    /// It has been closed ahead of the next: nobody acts on it any more.
+    /// Whether it has been closed ahead of the next version: no proxy acts on it any more.
     pub closed: bool,
-    /// The version put forward, if any, and its content's name.
+    /// The pending version, if any, and its digest.
     pub pending: Option<(Version, Digest)>,
 }
 
-/// What a proxy says of itself with each question.
+/// The state of a proxy, sent with each lease request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The question's number: of two reports of one process the later one has the higher.
+    /// The number of the lease request: of two reports of one process the later one has the higher number.
     pub serial: u64,
     /// The version that it acts on; 0 for none.
     pub acting: Version,
-    /// The latest version put forward that it has looked at, and why it can't use it, if so.
+    /// The latest proposed version that it has checked, and why it can't use it, if so.
     pub looked: Option<(Version, Option<String>)>,
-    /// What is left of its lease as it asks, in ms.
+    /// Remaining time of its lease when it asks, in ms.
     pub lease_ms: u32,
-    /// Requests that it refused for the want of a lease, since its start.
+    /// Requests that it has refused for lack of a lease, since its start.
     pub refused: u64,
-    /// The chance that its process drew, where it is or wants to be enrolled; else 0.
+    /// The random number that identifies its process, if it is or wants to be enrolled; else 0.
     pub draw: u64,
-    /// What it says to state machines that the log carries.
+    /// Its messages to the riders of the log.
     pub told: Told,
 }
 
-/// A question for a lease.
+/// A lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The number that the answer bears.
+    /// The number that the grant repeats.
     pub number: u64,
-    /// Who asks, where another proxy passes the question on.
+    /// The proxy that asks, if another proxy relays the request.
     pub origin: Option<String>,
-    /// How the one that asks stands.
+    /// The state of the proxy that asks.
     pub report: Report,
 }
 
-/// The answer: what stood at some moment after the question came.
+/// The answer to a lease request: what was in force at some moment after the request arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The question's number.
+    /// The number of the lease request.
     pub number: u64,
-    /// For whom, where another proxy passes it on.
+    /// The proxy that it is for, if another proxy relays it.
     pub origin: Option<String>,
-    /// What stood.
+    /// The version in force and the pending one.
     pub standing: Standing,
     /// The voters, with their addresses.
     pub voters: Vec<(String, SocketAddr)>,
-    /// How the process that asked stands, where it told its draw.
+    /// The enrolment of the process that asked, if its report has a `draw`.
     pub tenure: Option<Tenure>,
-    /// What state machines that the log carries say to the one that asked.
+    /// The messages of the log's riders to the proxy that asked.
     pub told: Told,
 }
 
-/// A process's place among the lives, at some moment after it asked.
+/// The enrolment of a process, at some moment after it asked.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenure {
-    /// Its number, if it is enrolled.
+    /// Its life, if it is enrolled.
     pub life: Option<Life>,
-    /// What it is heir to.
+    /// The ended lives for which it acts.
     pub claims: Vec<Claim>,
-    /// How often the enrolled ones have changed.
+    /// The number of the membership list, see [`crate::lives::Lives::roll`].
     pub roll: u64,
 }
 
-/// One member, as the leader knows it.
+/// A member, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
     /// Its name.
     pub name: String,
-    /// How long ago it was heard of, in ms.
+    /// Time since its last report, in ms.
     pub ago_ms: u64,
-    /// What it said.
+    /// Its last report.
     pub report: Report,
 }
 
-/// One version, as `history` shows it.
+/// A version, as `history` shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
     /// Its number.
     pub version: Version,
-    /// Its content's name.
+    /// The digest of its rulebook.
     pub digest: Digest,
-    /// What has become of it.
+    /// Its state.
     pub fate: crate::machine::Fate,
-    /// Whether it contradicts the one before.
+    /// Whether it contradicts the version that was in force when it was proposed.
     pub contradicts: bool,
     /// Who published it.
     pub by: String,
-    /// Why.
+    /// The publisher's reason.
     pub why: String,
 }
 
-/// How the fleet stands, as a voter tells it.
+/// The state of the fleet, as one voter knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Who tells.
+    /// The voter that answers.
     pub voter: String,
-    /// Who leads, as far as it knows.
+    /// The leader, as far as it knows.
     pub leader: Option<String>,
-    /// What stands.
+    /// The version in force and the pending one.
     pub standing: Standing,
     /// The voters.
     pub voters: Vec<(String, SocketAddr)>,
-    /// Members, if the one that tells leads.
+    /// The members, if the voter that answers is the leader.
     pub members: Vec<Seen>,
-    /// Versions that are kept.
+    /// The versions that are kept.
     pub history: Vec<Line>,
 }
 
-/// Another set of voters.
+/// A change of the set of voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Seating {
-    /// One more.
+    /// Adds a voter.
     Add(String, SocketAddr),
-    /// One less.
+    /// Removes a voter.
     Remove(String),
-    /// A voter has lost its disk and sits down anew, under another number.
+    /// Replaces the seat of a voter that has lost its disk by a new one.
     Rebuild {
         /// Its name.
         name: String,
-        /// Where it is reached.
+        /// Its address.
         address: SocketAddr,
-        /// Its new number.
+        /// The number of the new seat.
         id: u64,
     },
 }
 
-/// Anything that is said.
+/// A message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
-    /// Between voters, in the consensus engine's own form; the number of the seat that it is for.
+    /// Between voters: the number of the receiving seat, and a message in the consensus engine's encoding.
     Raft(u64, Vec<u8>),
-    /// A question for a lease, to a voter, or to any proxy that hears one.
+    /// A lease request, to a voter, or to any proxy that can reach one.
     Ask(Ask),
-    /// Its answer.
+    /// The answer to a lease request.
     Grant(Grant),
-    /// Something else stands or is put forward. Brings no lease.
+    /// The version in force or the pending one has changed. Grants no lease.
     News(Standing),
-    /// Asks for a rulebook.
+    /// Requests a rulebook.
     Fetch(Version),
-    /// A rulebook's bytes.
+    /// The bytes of a rulebook.
     Book(Version, Vec<u8>),
-    /// From a voter to the leader: who asked, and how they stand.
+    /// From a voter to the leader: the reports that it received with lease requests.
     Reports(Vec<(String, Report)>),
-    /// Puts a rulebook forward.
+    /// Proposes a rulebook.
     Publish(Proposal),
-    /// What that came to.
+    /// The verdict on the proposal with this id.
     Published(u64, Verdict),
-    /// It can't be put forward now, and why.
+    /// The proposal with this id can't be made now, and why.
     Unpublished(u64, String),
-    /// Asks how the fleet stands.
+    /// Requests the status of the fleet.
     Query(u64),
-    /// That.
+    /// The answer to a query.
     Status(u64, Status),
-    /// Asks for another set of voters.
+    /// Requests a change of the set of voters.
     Seat(u64, Seating),
-    /// What that came to; empty for well.
+    /// The result of that change: empty on success, else the reason.
     Seated(u64, String),
-    /// To a voter: a process wants a number, has ended, or has settled what another left.
+    /// To a voter: a process asks to be enrolled, has ended, or has settled the requests of an ended life.
     Life(LifeEntry),
-    /// To the leader: nothing listens under this name any more.
+    /// To the leader: the proxy of this name refuses connections.
     Missed(String),
-    /// Asks who is enrolled, if that has changed since.
+    /// Requests the membership list, if its number is higher than this one.
     FetchRoll(u64),
-    /// Who is enrolled, by number, how often that has changed, and who ended a while ago.
+    /// The membership list: its number, the enrolled lives, and those that ended recently.
     Roll(u64, Vec<(Life, Enrolled)>, Vec<(Life, Enrolled)>),
-    /// To a proxy: it is the heir to something, and should ask.
+    /// To a proxy: it has become an heir and should ask for its claims.
     Heir,
-    /// Puts an entry of a rider forward, under a number that the answer bears.
+    /// Proposes an entry of a rider, under a number that the answer repeats.
     Put(u64, Tag, Vec<u8>),
-    /// What that came to.
+    /// The result of applying that entry.
     Came(u64, Vec<u8>),
-    /// It can't be put forward, and why.
+    /// The entry can't be proposed or the question can't be answered, and why.
     Unput(u64, String),
-    /// Asks a rider something, under a number that the answer bears.
+    /// Queries a rider, under a number that the answer repeats.
     Look(u64, Tag, Vec<u8>),
-    /// Its answer, and whether the voter that gives it leads.
+    /// The rider's answer, and whether the voter that gives it is the leader.
     Seen(u64, bool, Vec<u8>),
 }
 
 impl Word {
-    /// The bytes of it.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).unwrap_or_default() // plain data always encodes
+        postcard::to_stdvec(self).unwrap_or_default() // encoding plain data can't fail
     }
 
-    /// Reads one; bytes that are none are passed over, as lost.
+    /// Decodes a message; `None` for invalid bytes, which the caller drops like a lost message.
     pub fn decode(bytes: &[u8]) -> Option<Word> {
         match postcard::take_from_bytes(bytes) {
             Ok((word, [])) => Some(word),
