--- a/src/belief.rs
+++ b/src/belief.rs
@@ -1,30 +1,30 @@
-//! What the module tells of its beliefs, to those who look on. Nothing is decided here.
+//! Read-only view of the learned limits, for monitoring. Nothing is decided here.
 use crate::interface::*;
 use crate::limit::Why;
 use crate::state::Balancer;
 
-/// What is believed of a server's limit.
+/// The current estimate of a server's concurrency limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Belief {
-    /// Which server.
+    /// The server.
     pub backend: BackendId,
-    /// Requests that its rating says it holds.
+    /// Requests that it can hold according to its rating.
     pub rated: f64,
-    /// Requests that it is believed to hold, of all proxies.
+    /// Requests of all proxies that it is assumed to be able to hold.
     pub limit: f64,
-    /// Whether that is but tried at present.
+    /// Whether that limit is only being probed at present.
     pub trial: bool,
-    /// Why the limit moved last.
+    /// Reason for the last change of the limit.
     pub why: Why,
 }
 
 impl Balancer {
-    /// What is believed of each listed server.
+    /// The current estimate for each listed server.
     pub fn beliefs(&self) -> impl Iterator<Item = Belief> {
-        self.servers.iter().filter(|s| s.told.is_none()).map(|s| Belief {
+        self.servers.iter().filter(|s| s.withdrawn_at.is_none()).map(|s| Belief {
             backend: s.info.id,
-            rated: s.prior,
-            limit: s.room,
+            rated: s.rated_slots,
+            limit: s.total_slots,
             trial: s.limit.known().1,
             why: s.limit.why(),
         })
--- a/src/bin/wharfhitch-wirehost/main.rs
+++ b/src/bin/wharfhitch-wirehost/main.rs
@@ -1,6 +1,6 @@
-//! The adapter between the operators' simulator wire and one [`wharfhitch::Balancer`] per proxy.
+//! Adapter between the wire protocol of the operators' simulator and one [`wharfhitch::Balancer`] per proxy.
 //!
-//! It translates and decides nothing. Instances share nothing.
+//! It only translates and makes no decisions. Instances share no state.
 
 mod wire;
 
@@ -33,9 +33,9 @@
                 output.flush().map_err(|e| at(e.to_string()))?;
                 reply.clear();
             }
-            "ITEM" => {} // a list line of a message that this version does not know
+            "ITEM" => {} // a list entry of a message type that this version does not know
             _ => {
-                if !wire::known(name) {
+                if !wire::is_known_message(name) {
                     continue;
                 }
                 let now = now.ok_or_else(|| at(format!("{name} outside a batch")))?;
@@ -51,11 +51,12 @@
                 let mut items = Vec::new();
                 if name == "TOPOLOGY" {
                     for _ in 0..fields.optional_whole("nodesList").map_err(at)?.unwrap_or(0) {
-                        let (n, item) = lines.next().ok_or_else(|| at("the list is cut short".into()))?;
+                        let (n, item) =
+                            lines.next().ok_or_else(|| at("the server list is truncated".into()))?;
                         let item = item.map_err(|e| format!("line {n}: {e}"))?;
                         let item = item
                             .strip_prefix("ITEM\t")
-                            .ok_or_else(|| format!("line {n}: a list line was expected"))?;
+                            .ok_or_else(|| format!("line {n}: expected an ITEM line"))?;
                         items.push((n, item.to_owned()));
                     }
                 }
@@ -67,8 +68,8 @@
                     continue;
                 };
                 let before = reply.len();
-                let done = catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, id, &mut reply)));
-                if let Err(cause) = done {
+                let result = catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, id, &mut reply)));
+                if let Err(cause) = result {
                     reply.truncate(before);
                     let text = cause
                         .downcast_ref::<String>()
@@ -81,7 +82,7 @@
             }
         }
     }
-    if now.is_some() { Err("the input ends inside a batch".into()) } else { Ok(()) }
+    if now.is_some() { Err("the input ends inside a batch (FRAME without GO)".into()) } else { Ok(()) }
 }
 
 fn main() -> ExitCode {
--- a/src/bin/wharfhitch-wirehost/wire.rs
+++ b/src/bin/wharfhitch-wirehost/wire.rs
@@ -1,4 +1,4 @@
-//! Lines of the wire, to events and from actions.
+//! Conversion of wire lines to events and of actions to wire lines.
 
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -13,8 +13,8 @@
 
 use wharfhitch::settings::{self, Names, index_of, number_of};
 
-/// Whether this version reads messages of that name.
-pub fn known(name: &str) -> bool {
+/// Whether this version handles messages of this name.
+pub fn is_known_message(name: &str) -> bool {
     matches!(
         name,
         "UP" | "CRASH_NOW"
@@ -32,7 +32,7 @@
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
-    /// Splits a line; a text-typed field takes all that follows.
+    /// Splits a line; the text fields `params` and `message` extend to the end of the line.
     pub fn new(rest: &'a str) -> Result<Self, String> {
         let mut fields = Vec::new();
         let mut rest = rest.trim_end_matches(['\r', '\n']);
@@ -61,7 +61,7 @@
         self.get(name).ok_or_else(|| format!("'{name}' is missing"))
     }
 
-    /// A number that has to be there.
+    /// A required number.
     pub fn number(&self, name: &str) -> Result<f64, String> {
         self.optional_number(name)?.ok_or_else(|| format!("'{name}' is missing"))
     }
@@ -70,37 +70,37 @@
         let Some(value) = self.get(name) else { return Ok(None) };
         match value.parse::<f64>() {
             Ok(x) if x.is_finite() => Ok(Some(x)),
-            _ => Err(format!("'{name}={value}' is no number")),
+            _ => Err(format!("'{name}={value}' is not a finite number")),
         }
     }
 
-    /// A whole number that has to be there.
+    /// A required unsigned integer.
     pub fn whole(&self, name: &str) -> Result<u64, String> {
         self.optional_whole(name)?.ok_or_else(|| format!("'{name}' is missing"))
     }
 
-    /// A whole number that may be absent.
+    /// An optional unsigned integer.
     pub fn optional_whole(&self, name: &str) -> Result<Option<u64>, String> {
         let Some(value) = self.get(name) else { return Ok(None) };
-        value.parse().map(Some).map_err(|_| format!("'{name}={value}' is no whole number"))
+        value.parse().map(Some).map_err(|_| format!("'{name}={value}' is not an unsigned integer"))
     }
 }
 
-/// A request's name, and what is still to be heard of it.
-struct Known {
+/// A request's name on the wire, its number of open attempts, and whether it has its final answer.
+struct OpenRequest {
     name: String,
-    out: u32,
+    open_attempts: u32,
     done: bool,
 }
 
-/// One proxy: its Balancer, and the names that its numbers stand for.
+/// One proxy: its balancer, and the wire names of its numbers.
 pub struct Instance {
     balancer: Balancer,
     names: Names,
     backends: FxHashMap<u64, String>,
     ids: HashMap<String, u64, rustc_hash::FxBuildHasher>,
-    requests: FxHashMap<u64, Known>,
-    last: u64,
+    requests: FxHashMap<u64, OpenRequest>,
+    next_id: u64,
     actions: Vec<Action>,
 }
 
@@ -113,7 +113,7 @@
         "severed" => Outcome::Reset,
         "recalled" => Outcome::Cancelled,
         "superseded" => Outcome::NotSent,
-        _ => Outcome::Error, // an error, or unknown: it may have run
+        _ => Outcome::Error, // an error or an unknown reason: it may have run
     }
 }
 
@@ -129,7 +129,7 @@
             backends: FxHashMap::default(),
             ids: HashMap::default(),
             requests: FxHashMap::default(),
-            last: 0,
+            next_id: 0,
             actions: Vec::new(),
         })
     }
@@ -150,7 +150,7 @@
             state: match fields.get("state") {
                 Some("up") | None => State::Up,
                 Some("removed") => State::Gone,
-                Some(_) => State::Draining, // draining, or unknown: nothing new goes there
+                Some(_) => State::Draining, // draining or unknown: it gets no new requests
             },
             rating: fields.optional_number("rating").map_err(at)?.unwrap_or(1.0),
             since: fields.optional_number("since").map_err(at)?.filter(|s| *s > 0.0),
@@ -161,7 +161,7 @@
         Ok(self.ids.get(fields.text("rid")?).copied().map(RequestId))
     }
 
-    /// Translates a line; `None` for what means nothing to this proxy any more.
+    /// Translates a line; `None` if it concerns a request that this proxy no longer knows, or is of an unknown type.
     pub fn event(
         &mut self, name: &str, fields: &Fields, items: &[(usize, String)],
     ) -> Result<Option<Event>, String> {
@@ -188,16 +188,19 @@
                 let tenant =
                     fields.get("userGroup").and_then(|t| self.names.tenants.iter().position(|n| n == t));
                 let event = Event::Request {
-                    id: RequestId(self.last),
+                    id: RequestId(self.next_id),
                     class: ClassId(class),
                     tenant: tenant.map(TenantId),
                     key: fields.optional_whole("nameKey")?.map(Key),
                     budget: fields.number("timeBudget")?,
                     hint: fields.optional_number("predicted")?,
                 };
-                self.ids.insert(name.to_owned(), self.last);
-                self.requests.insert(self.last, Known { name: name.to_owned(), out: 0, done: false });
-                self.last += 1;
+                self.ids.insert(name.to_owned(), self.next_id);
+                self.requests.insert(
+                    self.next_id,
+                    OpenRequest { name: name.to_owned(), open_attempts: 0, done: false },
+                );
+                self.next_id += 1;
                 event
             }
             "ESTABLISHED" => {
@@ -207,9 +210,9 @@
             "OUTCOME" => {
                 let Some(request) = self.request(fields)? else { return Ok(None) };
                 let closed = fields.get("closed").is_some_and(|c| c != "0");
-                if let Some(known) = self.requests.get_mut(&request.0) {
-                    known.out = known.out.saturating_sub(1);
-                    known.done |= closed;
+                if let Some(open) = self.requests.get_mut(&request.0) {
+                    open.open_attempts = open.open_attempts.saturating_sub(1);
+                    open.done |= closed;
                 }
                 Event::Ended {
                     request,
@@ -221,8 +224,8 @@
             }
             "HANGUP" => {
                 let Some(request) = self.request(fields)? else { return Ok(None) };
-                if let Some(known) = self.requests.get_mut(&request.0) {
-                    known.done = true;
+                if let Some(open) = self.requests.get_mut(&request.0) {
+                    open.done = true;
                 }
                 Event::Abandoned(request)
             }
@@ -240,9 +243,9 @@
         }))
     }
 
-    /// Hands an event to the Balancer and writes its actions.
+    /// Passes an event to the balancer and writes the resulting actions.
     pub fn handle(&mut self, now: f64, event: Event, i: u64, reply: &mut String) {
-        let touched = match &event {
+        let ended_request = match &event {
             Event::Ended { request, .. } | Event::Abandoned(request) => Some(*request),
             _ => None,
         };
@@ -252,7 +255,7 @@
             self.write(action, i, reply);
         }
         self.actions = actions;
-        if let Some(request) = touched {
+        if let Some(request) = ended_request {
             self.forget(request);
         }
     }
@@ -261,19 +264,19 @@
         // Writing to a String cannot fail.
         let _ = match action {
             Action::Send { request, backend, timeout, .. } => {
-                let Some(known) = self.requests.get_mut(&request.0) else { return };
-                known.out += 1;
+                let Some(open) = self.requests.get_mut(&request.0) else { return };
+                open.open_attempts += 1;
                 let backend = self.backends.get(&backend.0).map_or("-", String::as_str);
-                let _ = write!(reply, "SUBMIT_TO\ti={i}\trid={}\tbackend={backend}", known.name);
+                let _ = write!(reply, "SUBMIT_TO\ti={i}\trid={}\tbackend={backend}", open.name);
                 match timeout {
                     Some(t) => writeln!(reply, "\tmaxWait={t:.3}"),
                     None => writeln!(reply),
                 }
             }
             Action::Refuse { request, retry_after } => {
-                let Some(known) = self.requests.get_mut(&request.0) else { return };
-                known.done = true;
-                let _ = write!(reply, "TURN_AWAY\ti={i}\trid={}", known.name);
+                let Some(open) = self.requests.get_mut(&request.0) else { return };
+                open.done = true;
+                let _ = write!(reply, "TURN_AWAY\ti={i}\trid={}", open.name);
                 let wrote = match retry_after {
                     Some(t) => writeln!(reply, "\tretryAfter={t:.3}"),
                     None => writeln!(reply),
@@ -282,9 +285,9 @@
                 wrote
             }
             Action::Fail(request) => {
-                let Some(known) = self.requests.get_mut(&request.0) else { return };
-                known.done = true;
-                let wrote = writeln!(reply, "REPORT_FAILURE\ti={i}\trid={}", known.name);
+                let Some(open) = self.requests.get_mut(&request.0) else { return };
+                open.done = true;
+                let wrote = writeln!(reply, "REPORT_FAILURE\ti={i}\trid={}", open.name);
                 self.forget(request);
                 wrote
             }
@@ -298,12 +301,12 @@
         };
     }
 
-    /// Drops the name of a finished request once all its attempts have been heard of.
+    /// Drops the name of a finished request once all its attempts have ended.
     fn forget(&mut self, request: RequestId) {
-        if self.requests.get(&request.0).is_some_and(|k| k.done && k.out == 0)
-            && let Some(known) = self.requests.remove(&request.0)
+        if self.requests.get(&request.0).is_some_and(|k| k.done && k.open_attempts == 0)
+            && let Some(open) = self.requests.remove(&request.0)
         {
-            self.ids.remove(&known.name);
+            self.ids.remove(&open.name);
         }
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,15 +1,15 @@
-//! What goes into the decision module and what comes out: settings, events and actions.
+//! Interface of the decision module: settings, events and actions.
 //!
-//! Times are milliseconds on one clock that never runs backwards; spans are milliseconds too.
+//! Times are milliseconds on one monotonic clock; durations are milliseconds too.
 
-/// A point in time or a span, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// A request, as numbered by the caller; never used twice.
+/// Number of a request, assigned by the caller and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A server. Every proxy must use the same number for the same server (a hash of its name, say).
+/// Number of a server. Every proxy must use the same number for the same server, for example a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u64);
 
@@ -21,35 +21,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub usize);
 
-/// A zone of the network, as numbered by the caller.
+/// Number of a network zone, assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneId(pub u32);
 
-/// A kind of machine, as numbered by the caller.
+/// Number of a kind of machine, assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KindId(pub u32);
 
-/// A handful of servers that drop each other's repeats of a keyed request.
+/// A small group of servers that drop each other's duplicates of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CellId(pub u64);
 
-/// The thing that a request concerns.
+/// Number of the object that a request is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Key(pub u64);
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Repeating it does no harm.
+    /// Repeating the request is harmless.
     Safe,
-    /// Servers of one group drop a repeat, for a while after the first attempt was sent.
+    /// Servers of one group drop duplicates for a limited time after the first attempt was sent.
     Keyed {
-        /// Who drops repeats.
+        /// The servers that drop duplicates.
         group: Group,
-        /// For how long, from the send of the first attempt that may have run.
+        /// Dedup window, counted from the send of the first attempt that may have run.
         window: Millis,
     },
-    /// It must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
@@ -58,89 +58,89 @@
 pub enum Group {
     /// Every server.
     All,
-    /// Those in the zone of the server tried first.
+    /// The servers in the zone of the server tried first.
     Zone,
-    /// Those in the cell of the server tried first.
+    /// The servers in the cell of the server tried first.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this span earns the full worth.
+    /// An answer within this time earns the full worth.
     pub aim: Millis,
-    /// The whole wait that a client is ready for.
+    /// The time after which the client gives up.
     pub deadline: Millis,
-    /// The aim extends by this multiple of a request's expected work, up to the deadline.
+    /// The aim is extended by this multiple of a request's expected work, up to the deadline.
     pub aim_stretch: f64,
-    /// What an answer in time is worth.
+    /// Worth of an answer within the aim.
     pub worth: f64,
-    /// The fraction of the worth that a late answer still earns.
+    /// Fraction of the worth that a late answer still earns.
     pub late_worth: f64,
-    /// Whether it may run more than once.
+    /// Whether a request of this class may run more than once.
     pub effect: Effect,
 }
 
-/// A tenant and what it may ask for.
+/// A tenant and its allowance.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second over all proxies that count in full.
+    /// Requests per second, over all proxies, that have their full worth.
     pub allowance_per_s: f64,
 }
 
-/// How news of the server list arrives.
+/// How updates of the server list arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Unasked.
+    /// Without being requested.
     Pushed,
     /// Only after [`Action::Subscribe`] or [`Action::FetchList`].
     OnRequest,
 }
 
-/// What a server's rating tells.
+/// What a server's rating means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rating {
-    /// Nothing.
+    /// Nothing: there is no usable rating.
     Silent,
-    /// Its size, exactly or nearly so.
+    /// The server's size, at least approximately.
     Size,
-    /// Its size, lowered by what it held a while ago.
+    /// The server's size, reduced by its load some time ago.
     Live,
 }
 
-/// What the bench or the operator charges for, as a part of the worth of a mean request.
+/// Costs charged by the benchmark or the operator, as a fraction of the worth of a mean request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
-    /// An attempt that crosses zones.
+    /// Cost of an attempt that crosses zones.
     pub cross_zone: f64,
 }
 
-/// The figures of the rules that every proxy keeps. Two rules need none: nothing is sent to a server from
-/// the moment that its drain or end is told, and no request has two attempts out at once.
+/// Parameters of the rules that every proxy follows. Two rules have no parameter: nothing is sent to a server once
+/// its drain or removal is announced, and no request has two attempts in flight at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A fresh server has at least this part of its capacity.
+    /// Fraction of its capacity that a newly started server has at least.
     pub start_capacity: f64,
-    /// And all of it after this span at the latest.
+    /// Time after which a started server has its full capacity at the latest.
     pub cold: Millis,
-    /// Sent more than this multiple of its present capacity...
+    /// A cold server falls over if it is sent more than this multiple of its present capacity ...
     pub fall_multiple: f64,
-    /// ...for this span, a cold server falls over.
+    /// ... for this long.
     pub fall: Millis,
-    /// Requests that may be held unanswered at once.
+    /// Maximum number of unanswered requests.
     pub most_held: usize,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
 }
 
-/// What a proxy is told at its start.
+/// Settings of a proxy, given at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This proxy's number, from 0.
+    /// This proxy's number, counted from 0.
     pub me: u32,
-    /// How many proxies share the servers.
+    /// Number of proxies that share the servers.
     pub proxies: u32,
-    /// Where this proxy stands.
+    /// This proxy's zone.
     pub zone: Option<ZoneId>,
     /// The classes of requests.
     pub classes: Vec<Class>,
@@ -148,39 +148,39 @@
     pub tenants: Vec<Tenant>,
     /// The worth of a request beyond its tenant's allowance, as a fraction of its class's worth.
     pub over_share_worth: f64,
-    /// Whether worth is counted per unit of work instead of per request.
+    /// Whether worth counts per unit of work instead of per request.
     pub worth_by_work: bool,
-    /// How the server list arrives.
+    /// How updates of the server list arrive.
     pub discovery: Discovery,
-    /// What ratings tell.
+    /// What ratings mean.
     pub rating: Rating,
-    /// Whether a server that met a key does less work for it.
+    /// Whether a server does less work for a key that it has served before.
     pub warm_keys: bool,
     /// Whether messages between proxies are allowed.
     pub may_tell: bool,
-    /// Prices.
+    /// Costs that placement takes into account.
     pub prices: Prices,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub limits: Limits,
 }
 
 /// The state of a server on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Takes work.
+    /// Accepts requests.
     Up,
-    /// Finishes what it holds.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// Left the list.
+    /// Removed from the list.
     Gone,
 }
 
-/// One line of the server list.
+/// An entry of the server list.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Which server.
+    /// The server.
     pub id: BackendId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: Option<ZoneId>,
     /// Its kind of machine.
     pub kind: Option<KindId>,
@@ -190,76 +190,76 @@
     pub state: State,
     /// Its rating, see [`Settings::rating`].
     pub rating: f64,
-    /// When it last started; `None` if long ago.
+    /// Time of its last start; `None` if that was long ago.
     pub since: Option<Millis>,
 }
 
-/// How far a list update reaches.
+/// Scope of a list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Changed lines only.
+    /// Only the changed entries.
     Delta,
-    /// The whole list: what it lacks has left.
+    /// The whole list: servers missing from it are removed.
     Full,
-    /// The whole list as last seen before a restart, perhaps stale.
+    /// The last list seen before a restart, possibly stale.
     Cached,
-    /// The call failed; the old list stands.
+    /// The discovery call failed; the old list remains in force.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server answered successfully.
     Served,
     /// The server answered with an error.
     Error,
-    /// Turned away unseen.
+    /// Rejected without being processed, because the server was full.
     Full,
-    /// No answer in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// No connection.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke after the request was sent.
     Reset,
     /// Cancelled.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the attempt may have had its effect.
+    /// Whether the attempt may have taken effect.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// Settings that take the place of others while requests are open.
+/// New settings, applied while requests are open.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// All of them. Classes are by number, with those that only open requests hold.
+    /// The complete settings. Classes are indexed by number, including those used by open requests only.
     pub settings: Settings,
-    /// By class number, whether requests may still come for it.
+    /// For each class number, whether it still accepts requests.
     pub live: Vec<bool>,
-    /// Numbers that are new, or given anew as no request holds them, with the class that each was before under
-    /// other figures, if any: what was learned of that holds on.
+    /// Class numbers that are new, or reused because no request holds them, each with the class whose learned values
+    /// carry over, if any: the same class under its earlier figures.
     pub fresh: Vec<(ClassId, Option<ClassId>)>,
 }
 
-/// What a proxy sees.
+/// Input of a proxy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the server list.
+    /// An update of the server list.
     List {
-        /// How far it reaches.
+        /// Its scope.
         scope: Scope,
-        /// Its lines.
+        /// Its entries.
         entries: Vec<Backend>,
     },
-    /// The settings have changed. Rules of a class number never change while requests hold it.
+    /// The settings have changed. The rules of a class number never change while requests hold it.
     Settings(Box<Change>),
-    /// A request has come in and is owed exactly one final answer.
+    /// A request has arrived. It must get exactly one final answer.
     Request {
         /// Its number.
         id: RequestId,
@@ -267,89 +267,89 @@
         class: ClassId,
         /// Its tenant.
         tenant: Option<TenantId>,
-        /// What it concerns.
+        /// The object that it is about.
         key: Option<Key>,
-        /// How long the client waits.
+        /// Time that the client waits.
         budget: Millis,
-        /// Its expected work on a standard core.
+        /// Its expected work on a reference core.
         hint: Option<Millis>,
     },
-    /// A long request has gone out in part: its server does nothing for it until its last byte has come.
+    /// A long request is partly sent; its server does not work on it until the last byte has arrived.
     Uploading(RequestId),
-    /// It has gone out whole, or never will.
+    /// The upload has completed or was abandoned.
     Uploaded {
         /// The request.
         request: RequestId,
-        /// How long the client waits from now on; 0 where the request can't be sent again.
+        /// Time that the client waits from now on; 0 if the request cannot be sent again.
         budget: Millis,
     },
-    /// A streamed answer has begun: the client owns it now.
+    /// The answer has begun to reach the client and can no longer be replaced.
     Started {
         /// The request.
         request: RequestId,
-        /// Its attempt, counted from 0 in the order of sends.
+        /// The attempt, counted from 0 in the order of sends.
         attempt: u32,
     },
     /// An attempt has ended.
     Ended {
         /// The request.
         request: RequestId,
-        /// Its attempt.
+        /// The attempt.
         attempt: u32,
-        /// Time since the send.
+        /// Time from the send to the end.
         latency: Millis,
         /// How it ended.
         outcome: Outcome,
         /// Whether the request is finished.
         closed: bool,
     },
-    /// The client has gone; no answer is owed any more.
+    /// The client has disconnected; no answer is needed any more.
     Abandoned(RequestId),
     /// A timer set with [`Action::Timer`] is due.
     Timer(u64),
-    /// Another proxy's message.
+    /// A message from another proxy.
     Message {
         /// Its number.
         from: u32,
-        /// What it said.
+        /// Its content.
         bytes: Vec<u8>,
     },
 }
 
-/// What a proxy is to do, in this order.
+/// Output of a proxy, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server.
         backend: BackendId,
-        /// When to give the attempt up; `None` is the client's patience.
+        /// Time after which to give up the attempt; `None` to wait as long as the client does.
         timeout: Option<Millis>,
-        /// Nothing of it may go out later: from then on nobody would drop it as the repeat that it may be.
+        /// No part of it may be sent after this time, when the servers no longer drop duplicates of the request.
         before: Option<Millis>,
     },
-    /// Final answer: refused; a retry does no harm.
+    /// Final answer: refused; the client may safely retry.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it tries again.
+        /// Time that the client should wait before it retries.
         retry_after: Option<Millis>,
     },
-    /// Final answer: failed; no word on what was done.
+    /// Final answer: failed; the request may or may not have taken effect.
     Fail(RequestId),
-    /// Give [`Event::Timer`] back at a time.
+    /// Deliver [`Event::Timer`] at a given time.
     Timer {
-        /// What to give back.
+        /// Token of the event.
         token: u64,
-        /// When.
+        /// Time of delivery.
         at: Millis,
     },
     /// Send a message of at most 256 bytes to every other proxy.
     Broadcast(Vec<u8>),
     /// Subscribe to list changes.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Request the whole list once.
     FetchList,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! wharfhitch decides, for one reverse proxy, which HTTP server gets which request and when.
 //!
-//! It does no input or output of its own: feed [`Balancer::handle`] with what the proxy sees
-//! and carry out the [`Action`]s that it returns.
+//! It performs no I/O: pass each [`Event`] that the proxy observes to [`Balancer::handle`] and carry out the
+//! [`Action`]s that it returns.
 #![doc = include_str!("../README.md")]
 
 mod belief;
