--- a/src/limit.rs
+++ b/src/limit.rs
@@ -379,8 +379,8 @@
         (points, n)
     }
 
-    /// Reviews the limit. `probe`: demand waits, every server is full, and this proxy may probe this one; `look`: a
-    /// trial with fewer requests is allowed if their latency is unknown. Returns the reason if the limit changed.
+    /// Reviews the limit. `probe`: demand waits, every server is full, and this proxy may probe this one; `may_reduce`:
+    /// a trial with fewer requests is allowed if their latency is unknown. Returns the reason if the limit changed.
     pub fn review(&mut self, now: Millis, prior: f64, probe: bool, may_reduce: bool) -> Option<Why> {
         if !std::mem::take(&mut self.has_new_answers) && !probe && !self.overdue(now) {
             return None;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on small texts.
+//! Tests of the adapter binary on short inputs.
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_empty_batch_and_the_end() {
+fn empty_batch_and_empty_input() {
     assert_eq!(wirehost("FRAME\tts=1.5\nGO\n"), (true, "EOR\n".into(), String::new()));
     assert_eq!(wirehost(""), (true, String::new(), String::new()));
 }
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn malformed_lines_end_it_with_their_number() {
+fn malformed_lines_fail_with_their_line_number() {
     for (line, at) in [
         ("ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=soon\n", "line 6"),
         ("ARRIVAL\ti=0\trid=r-1\ttierClass=page\n", "line 6"),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_restart_forgets_and_instances_do_not_touch_each_other() {
+fn a_restart_drops_state_and_instances_are_independent() {
     let ask = |i: u32, r: &str| format!("ARRIVAL\ti={i}\trid={r}\ttierClass=page\ttimeBudget=900\n");
     let alone = format!("FRAME\tts=10\n{}{}GO\n", start(1), ask(1, "r-1"));
     let both = format!("FRAME\tts=10\n{}{}{}{}GO\n", start(0), start(1), ask(0, "r-0"), ask(1, "r-1"));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn odd_numbers_neither_panic_nor_pass() {
+fn extreme_numbers_do_not_panic_and_nan_is_rejected() {
     for (from, to) in [
         ("\"nInstances\":1", "\"nInstances\":1e18"),
         ("\"myNumber\":0", "\"myNumber\":-4"),
@@ -116,11 +116,11 @@
         assert!(!out.contains("EXCEPTION"), "{to}: {out}");
     }
     let input = format!("FRAME\tts=10\n{}DEADLINE_HIT\ti=0\tkeyBack=NaN\nGO\n", start(0));
-    assert!(!wirehost(&input).0, "a token that is no number");
+    assert!(!wirehost(&input).0, "a timer token that is not a number");
 }
 
 #[test]
-fn a_kill_and_a_start_in_one_batch_and_an_answer_with_a_hang_up() {
+fn kill_and_start_in_one_batch_and_answer_with_hangup() {
     let ask = "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=900\n";
     let end = "OUTCOME\ti=0\trid=r-1\tbackend=b.one\tlatency=9\tsendNo=0\tclosed=1\treason=completed\n";
     let input = format!(
@@ -134,5 +134,8 @@
     assert!(ok, "{err}");
     let replies: Vec<&str> = out.split("EOR\n").collect();
     assert!(replies[2].contains("SUBMIT_TO\ti=0\trid=r-2"), "the new start serves: {out}");
-    assert!(!replies[3].contains("r-1") && !replies[3].contains("r-2"), "nothing for what is over: {out}");
+    assert!(
+        !replies[3].contains("r-1") && !replies[3].contains("r-2"),
+        "no reply for finished requests: {out}"
+    );
 }
--- a/tests/change.rs
+++ b/tests/change.rs
@@ -1,4 +1,4 @@
-//! Settings that change while requests are open.
+//! Settings changes while requests are open.
 mod common;
 use common::*;
 use std::collections::{HashMap, HashSet};
@@ -11,7 +11,7 @@
 }
 
 fn change(settings: Settings, live: Vec<bool>, fresh: Vec<(usize, Option<usize>)>) -> Event {
-    let fresh = fresh.into_iter().map(|(id, like)| (ClassId(id), like.map(ClassId))).collect();
+    let fresh = fresh.into_iter().map(|(id, previous)| (ClassId(id), previous.map(ClassId))).collect();
     Event::Settings(Box::new(Change { settings, live, fresh }))
 }
 
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn an_open_request_keeps_the_rules_under_which_it_came() {
+fn an_open_request_keeps_the_rules_under_which_it_arrived() {
     let (mut hand, mut settings) = hand();
     assert_eq!(sends(&hand.give(request(1, 0, 2000.0))), 1);
-    // The safe class becomes unsafe under another number, and nothing may be tried twice.
+    // The safe class becomes unsafe under another number, and only one attempt is allowed.
     settings.classes.push(class(Effect::Unsafe, 800.0));
     settings.limits.max_attempts = 1;
     hand.give(change(settings, vec![false, false, false, true], vec![(3, None)]));
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn what_was_learned_survives_where_the_class_is_the_same() {
-    for (like, kept) in [(Some(1), true), (None, false)] {
+fn learned_values_carry_over_if_the_class_is_the_same() {
+    for (previous, kept) in [(Some(1), true), (None, false)] {
         let (mut hand, mut settings) = hand();
         for id in 0..200 {
             let sent = hand.give(request(id, 1, 3000.0));
@@ -46,11 +46,11 @@
             hand.give(ended(id, 0, 2.0, Outcome::Served));
         }
         settings.classes.push(class(Effect::Unsafe, 1300.0));
-        hand.give(change(settings, vec![true, false, true, true], vec![(3, like)]));
+        hand.give(change(settings, vec![true, false, true, true], vec![(3, previous)]));
         assert_eq!(sends(&hand.give(request(1000, 3, 200.0))), 1);
-        // It is tried again only if an answer may be expected in the 200 ms that its client waits.
+        // It is retried only if an answer can be expected within the 200 ms that its client waits.
         let next = hand.give(ended(1000, 0, 1.0, Outcome::ConnectFailed));
-        assert_eq!(sends(&next) > 0, kept, "{like:?}: {next:?}");
+        assert_eq!(sends(&next) > 0, kept, "{previous:?}: {next:?}");
     }
 }
 
@@ -60,53 +60,53 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut hand, mut settings) = hand();
         let mut live = vec![true; settings.classes.len()];
-        let mut seen = Seen::default();
+        let mut view = DriverView::default();
         let mut asked = 0;
         for step in 0..300 {
             let passed = hand.pass(rng.f64() * 30.0);
-            seen.note(&passed);
+            view.note(&passed);
             let actions = match rng.u32(0..10) {
                 0 => {
                     let effect = [Effect::Safe, Effect::Unsafe, KEYED][rng.usize(0..3)];
-                    let like = rng.bool().then(|| rng.usize(0..settings.classes.len()));
+                    let previous = rng.bool().then(|| rng.usize(0..settings.classes.len()));
                     settings.classes.push(class(effect, 200.0 + 1000.0 * rng.f64()));
                     live.iter_mut().for_each(|l| *l &= rng.bool());
                     live.push(true);
                     settings.limits.max_attempts = rng.u32(1..5);
                     let id = settings.classes.len() - 1;
-                    hand.give(change(settings.clone(), live.clone(), vec![(id, like)]))
+                    hand.give(change(settings.clone(), live.clone(), vec![(id, previous)]))
                 }
                 1..=5 => {
                     let class = (0..live.len()).rev().find(|i| live[*i]).expect("the newest lives");
                     asked += 1;
                     hand.give(request(step, class, 1500.0))
                 }
-                _ if !seen.open.is_empty() => {
-                    let (id, attempt) = seen.open.swap_remove(rng.usize(0..seen.open.len()));
+                _ if !view.open.is_empty() => {
+                    let (id, attempt) = view.open.swap_remove(rng.usize(0..view.open.len()));
                     let outcome = [Outcome::Served, Outcome::Error, Outcome::ConnectFailed][rng.usize(0..3)];
                     if outcome == Outcome::Served {
-                        seen.answered.insert(id);
+                        view.answered.insert(id);
                     }
-                    let (request, closed) = (RequestId(id), seen.answered.contains(&id));
+                    let (request, closed) = (RequestId(id), view.answered.contains(&id));
                     hand.give(Event::Ended { request, attempt, latency: 5.0, outcome, closed })
                 }
                 _ => Vec::new(),
             };
-            seen.note(&actions);
+            view.note(&actions);
         }
-        assert!(!seen.answered.is_empty() && seen.answered.len() <= asked, "seed {seed}");
+        assert!(!view.answered.is_empty() && view.answered.len() <= asked, "seed {seed}");
     }
 }
 
-/// What a driver would know: attempts that are out, and which requests have their answer.
+/// A driver's view: attempts in flight, and the requests that have their final answer.
 #[derive(Default)]
-struct Seen {
+struct DriverView {
     open: Vec<(u64, u32)>,
     attempts: HashMap<u64, u32>,
     answered: HashSet<u64>,
 }
 
-impl Seen {
+impl DriverView {
     fn note(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -1,4 +1,4 @@
-//! One test for each failure found on the bench, none of which needs it.
+//! Regression tests for failures found on the test bench; none of them needs the bench.
 mod common;
 use common::*;
 use wharfhitch::*;
@@ -7,14 +7,14 @@
     actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count()
 }
 
-/// Sends `n` unsafe requests and returns how many went out at once.
+/// Sends `n` unsafe requests; returns request and server of those sent at once.
 fn burst(hand: &mut Hand, first: u64, n: u64) -> Vec<(u64, u64)> {
     (first..first + n).flat_map(|id| sends(&hand.give(request(id, 1, 3000.0)))).collect()
 }
 
 #[test]
 fn a_request_with_hardly_any_time_left_is_answered_at_once() {
-    // Lost on a rough day: clients' later tries came with budgets shorter than the module's next look.
+    // Such requests were lost: clients' retries came with budgets shorter than the time to the module's next tick.
     let mut hand = Hand::new(settings(1), vec![server(1)]);
     assert_eq!(refusals(&hand.give(request(1, 0, 15.0))), 1);
 }
@@ -30,7 +30,7 @@
     assert!(fast > 0 && sent[..fast].iter().all(|s| s.1 == 1), "the fast server fills first: {sent:?}");
     assert!(sent.len() < 30, "some are held");
     assert!(sent.iter().any(|s| s.1 == 2), "a long queue spills over to the slow one: {sent:?}");
-    // The threshold lets the first of the held go only when the queue has grown.
+    // The threshold releases the first waiting request only once the queue has grown.
     let spilled = 1000 + fast as u64;
     assert_eq!(sent[fast], (spilled, 2), "the oldest goes: {sent:?}");
     let mut again = Hand::new(settings(1), vec![server(1), Backend { kind: Some(KindId(1)), ..server(2) }]);
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn a_server_that_hangs_is_closed_and_tried_with_what_may_be_repeated() {
-    // hang: requests sent there were lost one after the other.
+fn a_hung_server_is_closed_and_probed_only_with_repeatable_requests() {
+    // Scenario `hang`: requests sent to the hung server were lost one after the other.
     let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
     hand.train(0, 60, |_| 50.0);
     let stuck = burst(&mut hand, 1000, 8);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn quick_errors_close_a_server_and_make_it_no_faster() {
+fn fast_errors_close_a_server_and_do_not_improve_its_latency() {
     let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
     hand.train(0, 40, |_| 50.0);
     let mut failed = 0;
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn doubt_does_not_open_full_servers() {
-    // iab5ffd: when most attempts failed, health was doubted and full servers were flooded.
+fn distrust_of_health_does_not_reopen_full_servers() {
+    // Run iab5ffd: when most attempts failed, health was distrusted and full servers were flooded.
     let mut hand = Hand::new(settings(1), (0..4).map(server).collect());
     hand.train(0, 40, |_| 50.0);
     let mut tries = 0;
@@ -97,40 +97,40 @@
 }
 
 #[test]
-fn a_kind_that_slows_gets_fewer_slots() {
-    // i7496cc: overfilled servers looked as if they had more cores, and stayed overfilled.
+fn a_congested_kind_gets_fewer_slots() {
+    // Run i7496cc: overloaded servers looked as if they had more cores, and stayed overloaded.
     let big = |id| Backend { rating: 12.0, ..server(id) };
     let mut hand = Hand::new(settings(1), vec![big(1), big(2)]);
     hand.train(0, 120, |_| 40.0);
     hand.pass(200.0);
-    let calm = burst(&mut hand, 1000, 60).len();
-    let mut hand2 = Hand::new(settings(1), vec![big(1), big(2)]);
-    hand2.train(0, 120, |_| 40.0);
-    hand2.train(200, 200, |_| 200.0);
-    let crowded = burst(&mut hand2, 1000, 60).len();
-    assert!(crowded < calm * 2 / 3, "{crowded} slots while crowded, {calm} while calm");
+    let uncongested = burst(&mut hand, 1000, 60).len();
+    let mut congested_hand = Hand::new(settings(1), vec![big(1), big(2)]);
+    congested_hand.train(0, 120, |_| 40.0);
+    congested_hand.train(200, 200, |_| 200.0);
+    let congested = burst(&mut congested_hand, 1000, 60).len();
+    assert!(congested < uncongested * 2 / 3, "{congested} slots while congested, {uncongested} otherwise");
 }
 
 #[test]
 fn a_few_slow_servers_take_no_slots_from_the_healthy_ones_of_their_kind() {
-    // ib2a989: three of fourteen servers eight times slower, and the slots of all others shrank.
-    let told = Settings { may_tell: true, ..settings(1) };
-    let mut hand = Hand::new(told, (1..=10).map(server).collect());
+    // Run ib2a989: three of fourteen servers were eight times slower, and the slots of all others shrank.
+    let with_messages = Settings { may_tell: true, ..settings(1) };
+    let mut hand = Hand::new(with_messages, (1..=10).map(server).collect());
     hand.train(0, 300, |_| 40.0);
     let (sent, _) = hand.drive(20_000, 2, |to, _| if to <= 7 { 600.0 } else { 40.0 });
-    // Six slots, 40 ms each, for twenty seconds: they are never given up.
+    // Three healthy servers with six slots, 40 ms each, for twenty seconds: the slots are never reduced.
     let taken = sent.iter().filter(|s| s.1 > 7).count();
-    assert!(taken >= 2900, "the healthy took {taken}");
+    assert!(taken >= 2900, "the healthy servers got {taken} requests");
 }
 
 #[test]
-fn waits_at_one_core_do_not_shrink_the_slots_of_others() {
-    // i30d937: one-core servers that held two requests looked slow, and so others seemed to have few cores.
-    let told = Settings { may_tell: true, ..settings(2) };
+fn queueing_at_one_core_servers_does_not_shrink_the_slots_of_others() {
+    // Run i30d937: one-core servers that held two requests looked slow, so that others seemed to have few cores.
+    let with_messages = Settings { may_tell: true, ..settings(2) };
     let big = |id| Backend { kind: Some(KindId(1)), rating: 8.0, ..server(id) };
     let list: Vec<Backend> =
         (1..=8).map(|id| Backend { rating: 1.6, ..server(id) }).chain((11..=14).map(big)).collect();
-    let mut hand = Hand::new(told, list);
+    let mut hand = Hand::new(with_messages, list);
     // A second request at a single core waits for the first.
     let (_, out) =
         hand.drive(60_000, 1, |to, before| if to > 10 { 50.0 } else { 100.0 + 300.0 * before as f64 });
@@ -140,12 +140,12 @@
 
 #[test]
 fn an_unmeasured_kind_gets_half_its_slots() {
-    // La59078: a fleet jammed from the first second took the jam for calm and stayed in it.
-    let told = Settings { may_tell: true, ..settings(1) };
+    // Run La59078: a fleet congested from the first second took that latency as its baseline and stayed congested.
+    let with_messages = Settings { may_tell: true, ..settings(1) };
     let list = vec![Backend { rating: 8.0, ..server(1) }];
-    let first = burst(&mut Hand::new(told.clone(), list.clone()), 1000, 20).len();
+    let first = burst(&mut Hand::new(with_messages.clone(), list.clone()), 1000, 20).len();
     assert!((4..=6).contains(&first), "half of 8.8 slots at first: {first}");
-    let mut hand = Hand::new(told, list);
+    let mut hand = Hand::new(with_messages, list);
     hand.train(0, 80, |_| 50.0);
     hand.pass(2000.0);
     let later = burst(&mut hand, 2000, 20).len();
@@ -154,7 +154,7 @@
 
 #[test]
 fn slots_of_all_proxies_do_not_overlap() {
-    // Herding: many proxies saw the same open servers. Each slot is owned by one proxy.
+    // Herding: many proxies saw the same open servers. Therefore each slot is owned by one proxy.
     let n = 12;
     let list: Vec<Backend> = (0..20).map(server).collect();
     let mut at = vec![0u32; 20];
@@ -165,7 +165,7 @@
             at[to as usize] += 1;
         }
     }
-    // Even before any message has come through, and with 480 requests for about 50 slots at once.
+    // This holds before any message has arrived, with 480 requests for about 50 slots at once.
     let (most, all) = (*at.iter().max().unwrap(), at.iter().sum::<u32>());
     assert!((20..=200).contains(&all), "{all} sent in all: {at:?}");
     assert!(most <= 20, "{most} at one server: {at:?}");
@@ -173,7 +173,7 @@
 
 #[test]
 fn a_proxy_among_many_has_servers_of_its_own() {
-    // bern: with 250 proxies on 60 small servers most proxies had no server at all and refused everything.
+    // Site bern: with 250 proxies on 60 small servers, most proxies had no server and refused everything.
     let small = |id| Backend { rating: 1.0, ..server(id) };
     let mut without = 0;
     for me in 0..50 {
@@ -188,8 +188,8 @@
 }
 
 #[test]
-fn deaf_proxies_hold_few_requests_out() {
-    // i1ce7d3: one slot at each server for each of 38 proxies tipped servers into lasting slowness.
+fn proxies_without_messages_keep_few_requests_in_flight() {
+    // Run i1ce7d3: one slot at each server for each of 38 proxies made servers permanently slow.
     let base = settings(38);
     let mut hand = Hand::new(Settings { warm_keys: true, ..base }, (0..40).map(server).collect());
     hand.pass(500.0);
@@ -202,8 +202,8 @@
         hint: None,
     };
     let sent: usize = (0..200).map(|id| sends(&hand.give(ask(id))).len()).sum();
-    // Its fair part of some 104 slots is under three.
-    assert!((4..=9).contains(&sent), "{sent} out at once");
+    // Its fair share of about 104 slots is less than three.
+    assert!((4..=9).contains(&sent), "{sent} in flight at once");
 }
 
 #[test]
@@ -231,17 +231,17 @@
 }
 
 #[test]
-fn a_restart_told_twice_in_one_list_is_still_a_cold_start() {
-    // Found by the property test: the second line of the same server took its fresh start back.
+fn a_restart_listed_twice_in_one_update_is_still_a_cold_start() {
+    // Found by the property test: the second entry of the same server cancelled its cold start.
     let fresh = Backend { since: Some(1000.0), ..server(1) };
     let mut hand = Hand::new(settings(8), vec![server(1)]);
     hand.give(Event::List { scope: Scope::Delta, entries: vec![fresh.clone(), fresh] });
     let sent = burst(&mut hand, 0, 20);
-    assert!(sent.is_empty(), "a cold server of one in eight proxies: {sent:?}");
+    assert!(sent.is_empty(), "one of eight proxies has no budget yet for a cold server: {sent:?}");
 }
 
 #[test]
-fn a_drained_server_gets_nothing_and_its_requests_are_answered() {
+fn a_drained_server_gets_no_requests_and_waiting_requests_are_answered() {
     let mut hand = Hand::new(settings(1), vec![server(1)]);
     hand.give(Event::List {
         scope: Scope::Delta,
@@ -255,7 +255,7 @@
 
 #[test]
 fn a_request_queued_twice_is_answered_once() {
-    // A fault: a request served out of turn stood in its queue still and was answered again.
+    // A request sent out of order stayed in its queue and was answered a second time.
     let mut hand = Hand::new(settings(1), vec![]);
     hand.give(request(1, 1, 3000.0));
     let out = hand.pass(4000.0);
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn odd_lists_do_no_harm() {
+fn invalid_ratings_are_harmless() {
     let odd = |rating| Backend { rating, ..server(3) };
     for rating in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
         let mut hand = Hand::new(settings(3), vec![odd(rating), server(4)]);
@@ -275,14 +275,14 @@
 
 #[test]
 fn a_running_request_is_answered_just_before_its_aim() {
-    // bern: answers up to 30 ms before the aim gave away requests that would have been served in time.
+    // Site bern: final answers up to 30 ms before the aim dropped requests that would have been served in time.
     let mut hand = Hand::new(settings(1), vec![server(1)]);
     assert_eq!(burst(&mut hand, 1, 1).len(), 1);
     assert_eq!(refusals(&hand.pass(1190.0)), 0, "its aim is 1200 ms");
     assert_eq!(refusals(&hand.pass(10.0)), 1);
 }
 
-/// As `Hand::train`, but request after request of one class.
+/// Like `Hand::train`, but all requests are of one class.
 fn serve(hand: &mut Hand, class: usize, first: u64, count: u64, latency: Millis) {
     for id in first..first + count {
         let sent = sends(&hand.give(request(id, class, 2000.0)));
@@ -294,14 +294,14 @@
 
 #[test]
 fn a_server_that_ignores_one_class_keeps_the_others() {
-    // class_fail: requests of the ignored class were lost there to the end of the trouble, and each kept the
-    // only slot from the other classes.
+    // Scenario `class_fail`: requests of the ignored class were lost there until the fault ended, and each blocked
+    // the only slot for the other classes.
     let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
     hand.train(0, 60, |_| 50.0);
     serve(&mut hand, 2, 100, 20, 50.0);
     hand.pass(300.0);
-    // Server 1 answers class 0 and leaves class 2 unanswered; server 2 answers all.
-    // Without health by class 7 are lost.
+    // Server 1 answers class 0 but not class 2; server 2 answers both.
+    // Without health tracking by class, 7 requests are lost.
     let (mut lost, mut other, mut out) = (0, 0, vec![]);
     for id in 1000..1400 {
         let class = if id % 2 == 0 { 2 } else { 0 };
@@ -316,13 +316,13 @@
             }
         }
     }
-    assert!(lost <= 5, "{lost} of 150 went on to where they are ignored");
-    assert!(other >= 20, "only {other} of 150 of the other class went there");
+    assert!(lost <= 5, "{lost} of 150 were still sent to the server that ignores them");
+    assert!(other >= 20, "only {other} of 150 of the other class were sent to server 1");
 }
 
 #[test]
-fn deaf_proxies_with_many_servers_each_share_no_slot() {
-    // At full size random subsets of 20 servers for each of 36 proxies overlapped twice and servers choked.
+fn proxies_without_messages_and_with_many_servers_each_share_no_slot() {
+    // At full size, random subsets of 20 servers for each of 36 proxies overlapped twice and overloaded servers.
     let small = |id| Backend { rating: 1.0, ..server(id) };
     let mut holders = std::collections::HashMap::<u64, usize>::new();
     for me in 0..8 {
@@ -332,14 +332,14 @@
         assert!((8..=40).contains(&sent.len()), "{} of 20 slots in the mean", sent.len());
         sent.iter().for_each(|s| *holders.entry(s.1).or_default() += 1);
     }
-    // A part of a slot above one a server is rounded at random, so that some have two.
+    // Fractions of a slot above one per server are rounded at random, so that some servers have two.
     let shared = holders.values().filter(|n| **n > 1).count();
     assert!(shared <= 40, "{shared} of 160 servers are held by several");
 }
 
 #[test]
-fn deaf_proxies_with_few_servers_each_pool_them() {
-    // 20 proxies with 29 one-core servers: one server of one's own leaves long waits and idles for a round trip
+fn proxies_without_messages_and_with_few_servers_each_share_them() {
+    // 20 proxies with 29 one-core servers: a single own server causes long waits and idles for a round trip
     // between answers.
     let small = |id| Backend { rating: 1.0, ..server(id) };
     let mut hand = Hand::new(settings(20), (0..29).map(small).collect());
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn late_answers_narrow_the_window_of_pooled_servers() {
+fn late_answers_shrink_the_in_flight_window_of_shared_servers() {
     let out_at_once = |latency: Millis| {
         let small = |id| Backend { rating: 1.0, ..server(id) };
         let mut hand = Hand::new(settings(20), (0..40).map(small).collect());
@@ -364,26 +364,26 @@
         still.len()
     };
     let (good, late) = (out_at_once(200.0), out_at_once(1100.0));
-    assert!(good >= 12, "answers in good time widen it: {good}");
-    assert!(late <= 6, "late ones, of 1200 ms, do not: {late}");
+    assert!(good >= 12, "early answers widen it: {good}");
+    assert!(late <= 6, "late answers, close to the aim of 1200 ms, do not: {late}");
 }
 
 #[test]
-fn servers_that_come_and_go_leave_nothing_behind() {
-    // Long days: each replaced server kept its record, and all of them were looked over ten times a second.
+fn removed_servers_do_not_accumulate() {
+    // In long runs each replaced server kept its record, and all of them were reviewed ten times per second.
     for warm_keys in [false, true] {
         let mut hand = Hand::new(Settings { warm_keys, may_tell: true, ..settings(2) }, vec![server(0)]);
-        hand.give(request(1, 2, 1e9)); // keyed: where it went first must be known until it ends
-        let told = |id: u64, state| Backend { state, ..server(id) };
+        hand.give(request(1, 2, 1e9)); // keyed: the first server must be known until the request ends
+        let entry = |id: u64, state| Backend { state, ..server(id) };
         for id in 1..3000 {
-            let entries = vec![told(id, State::Up), told(id - 1, State::Gone)];
+            let entries = vec![entry(id, State::Up), entry(id - 1, State::Gone)];
             let mut actions = hand.give(Event::List { scope: Scope::Delta, entries });
             actions.extend(hand.pass(120.0));
             actions.extend(hand.give(request(10 * id, 0, 3000.0)));
             let mut out = sends(&actions);
-            // The servers that a whole list lacks have left too.
+            // Servers missing from a full list are removed too.
             if id % 100 == 0 {
-                out.extend(sends(&hand.give(full(vec![told(id, State::Up)]))));
+                out.extend(sends(&hand.give(full(vec![entry(id, State::Up)]))));
             }
             while let Some((sent, _)) = out.pop() {
                 if sent > 1 {
@@ -396,8 +396,8 @@
 }
 
 #[test]
-fn beyond_what_may_be_held_the_least_valuable_are_given_up_at_once() {
-    // Four times the load: requests with no hope kept all connections, and what came then was not taken at all.
+fn above_most_held_the_least_valuable_requests_are_shed_at_once() {
+    // At four times the load, hopeless requests occupied all connections, and new requests were not accepted at all.
     let mut settings = settings(1);
     settings.limits.most_held = 20;
     settings.classes[0].worth = 0.1;
@@ -416,15 +416,15 @@
         }
     }
     assert_eq!(given_up.len(), 40);
-    // Those of little worth went first.
+    // Requests of little worth are shed first.
     assert!(given_up[..15].iter().all(|id| id % 2 == 0), "{given_up:?}");
 }
 
 #[test]
-fn a_calm_level_that_was_taken_for_too_low_costs_slots_only_for_a_while() {
-    // A reload day: a lucky start passed for calm, and ten seconds long a third of the slots had to do.
-    let told = Settings { may_tell: true, ..settings(1) };
-    let mut hand = Hand::new(told, vec![Backend { rating: 8.0, ..server(1) }]);
+fn a_baseline_that_is_too_low_costs_slots_only_temporarily() {
+    // After a reload, a lucky start was taken as the baseline, and only a third of the slots was used for ten seconds.
+    let with_messages = Settings { may_tell: true, ..settings(1) };
+    let mut hand = Hand::new(with_messages, vec![Backend { rating: 8.0, ..server(1) }]);
     hand.train(0, 120, |_| 20.0);
     hand.train(1000, 400, |_| 50.0);
     let slots = burst(&mut hand, 5000, 20).len();
@@ -432,8 +432,8 @@
 }
 
 #[test]
-fn failures_that_befall_all_servers_alike_close_none() {
-    // wide+reset+stale: one attempt in six failed everywhere, and all servers were closed or on trial.
+fn failures_common_to_all_servers_close_none() {
+    // Scenario wide+reset+stale: one attempt in six failed everywhere, and all servers were closed or on trial.
     let mut hand = Hand::new(settings(1), (1..=10).map(server).collect());
     hand.train(0, 100, |_| 50.0);
     let (mut out, mut count, mut refused) = (vec![], 0u64, 0i64);
@@ -445,7 +445,7 @@
             count += 1;
             let outcome = if count % 6 < 1 { Outcome::Reset } else { Outcome::Served };
             actions.extend(hand.give(ended(sent, 0, 40.0, outcome)));
-            refused -= i64::from(outcome == Outcome::Reset); // its own answer, a failure
+            refused -= i64::from(outcome == Outcome::Reset); // the final answer to the failed request does not count
         }
         refused += refusals(&actions) as i64;
         out.extend(sends(&actions).into_iter().map(|s| s.0));
@@ -454,7 +454,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_refused_only_while_whoever_comes_back_finds_its_repeat_dropped() {
+fn a_request_that_may_have_run_is_refused_only_while_its_retry_would_be_deduplicated() {
     let answer_after = |span: Millis| {
         let mut all = Settings { limits: Limits { max_attempts: 1, ..settings(1).limits }, ..settings(1) };
         all.classes[2].effect = Effect::Keyed { group: Group::All, window: 500.0 };
@@ -466,12 +466,12 @@
     assert!(matches!(answer_after(100.0)[..], [Action::Refuse { .. }]));
     assert!(
         matches!(answer_after(490.0)[..], [Action::Fail(_)]),
-        "a second try would come too late to be dropped"
+        "a retry would come too late to be dropped as a duplicate"
     );
 }
 
 #[test]
-fn a_repeat_bears_the_time_until_which_it_is_dropped() {
+fn a_repeat_carries_the_end_of_its_dedup_window() {
     let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
     let first = hand.give(request(1, 2, 2000.0));
     assert!(matches!(first[..], [Action::Send { before: None, .. }]), "{first:?}");
@@ -481,15 +481,15 @@
     second.extend(hand.pass(100.0));
     let Some(Action::Send { before: Some(before), .. }) = second.first() else { panic!("{second:?}") };
     assert_eq!(*before, sent + 2000.0);
-    // One that surely never ran is no repeat.
+    // After an attempt that certainly never ran, the next one is not a repeat.
     hand.give(request(9, 2, 2000.0));
     let again = hand.give(ended(9, 0, 1.0, Outcome::ConnectFailed));
     assert!(!again.iter().any(|a| matches!(a, Action::Send { before: Some(_), .. })), "{again:?}");
 }
 
 #[test]
-fn discovery_that_is_asked_is_asked_again_soon_however_often_a_call_fails() {
-    // What it has to tell counts as told in 6 s: after a silent watch there is no time for waits of seconds.
+fn on_request_discovery_is_asked_again_soon_however_often_a_call_fails() {
+    // Changes count as announced within 6 s: after a silent subscription there is no time for a backoff of seconds.
     let asked = Settings { discovery: Discovery::OnRequest, ..settings(300) };
     let mut hand = Hand::new(asked, vec![server(1)]);
     assert!(hand.pass(25.0).contains(&Action::Subscribe));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Settings for tests, a checker of the four rules, and a small world that drives a Balancer.
-#![allow(dead_code)] // each test file uses its own part
+//! Settings for tests, a test harness that drives a balancer, and a checker of the four rules.
+#![allow(dead_code)] // each test file uses a different part
 use std::collections::{BTreeMap, HashMap};
 use wharfhitch::*;
 
@@ -9,7 +9,7 @@
 
 pub const KEYED: Effect = Effect::Keyed { group: Group::Cell, window: 2000.0 };
 
-/// Three classes (safe, unsafe, keyed by cell), pushed lists, ratings that tell the size.
+/// Three classes (safe, unsafe, keyed by cell), pushed lists, ratings that give the size.
 pub fn settings(proxies: u32) -> Settings {
     Settings {
         me: 0,
@@ -60,7 +60,7 @@
     Event::Ended { request: RequestId(id), attempt, latency, outcome, closed }
 }
 
-/// A Balancer whose timers are kept and fired by hand.
+/// A balancer with a manual clock; its timers fire when the test advances the time.
 pub struct Hand {
     pub balancer: Balancer,
     pub now: Millis,
@@ -78,7 +78,7 @@
         hand
     }
 
-    /// Hands in an event at the present time; returns what is to be done, timers aside.
+    /// Delivers an event at the present time; returns the resulting actions except timers.
     pub fn give(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
@@ -91,7 +91,7 @@
         out
     }
 
-    /// Lets time pass with nothing but timers.
+    /// Advances the clock, firing only timers; returns the resulting actions.
     pub fn pass(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut out = vec![];
@@ -109,13 +109,13 @@
         out
     }
 
-    /// Serves unsafe requests, one every `every` ms for `span` ms; `latency` of one depends on its server and on
-    /// how many are there already. Returns request and server of each send, and the servers of those still out.
+    /// Serves unsafe requests, one every `every` ms for `span` ms; `latency` gets the server and the number of requests
+    /// already there. Returns request and server of each send, and the servers of requests still in flight.
     pub fn drive(
         &mut self, span: u64, every: u64, latency: impl Fn(u64, usize) -> Millis,
     ) -> (Vec<(u64, u64)>, Vec<u64>) {
         let mut all = vec![];
-        let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // until when, and its latency
+        let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // request, server, end time, latency
         for step in 0..span {
             let mut actions = self.pass(1.0);
             if step % every == 0 {
@@ -136,7 +136,7 @@
         (all, out.iter().map(|o| o.1).collect())
     }
 
-    /// Serves requests one after the other, each in `latency(server)`, so that speeds are learnt.
+    /// Serves requests one after the other, each in `latency(server)`, so that the balancer learns the speeds.
     pub fn train(&mut self, first: u64, count: u64, latency: impl Fn(u64) -> Millis) {
         for id in first..first + count {
             let sent = sends(&self.give(request(id, 0, 2000.0)));
@@ -159,25 +159,25 @@
     actions.iter().filter_map(pick).collect()
 }
 
-struct Sent {
+struct SentAttempt {
     server: u64,
     at: Millis,
-    over: bool,
-    ran: bool,
+    ended: bool,
+    may_have_run: bool,
 }
 
-struct Owed {
+struct OpenRequest {
     class: usize,
     due: Millis,
-    sent: Vec<Sent>,
+    sent: Vec<SentAttempt>,
     answered: bool,
 }
 
-/// Watches every event and action of one proxy and notes each breach of the four rules.
+/// Observes every event and action of one proxy and records each breach of the four rules.
 pub struct Checker {
     settings: Settings,
     servers: HashMap<u64, (Backend, Option<Millis>)>,
-    owed: BTreeMap<u64, Owed>,
+    open: BTreeMap<u64, OpenRequest>,
     cold: HashMap<u64, Vec<Millis>>,
     pub work: Millis,
     pub breaches: Vec<String>,
@@ -185,13 +185,13 @@
 
 impl Checker {
     pub fn new(settings: Settings, work: Millis) -> Self {
-        let (servers, owed, cold, breaches) = Default::default();
-        Checker { settings, servers, owed, cold, work, breaches }
+        let (servers, open, cold, breaches) = Default::default();
+        Checker { settings, servers, open, cold, work, breaches }
     }
 
-    /// The proxy was killed: nothing is owed any more.
+    /// The proxy was killed: its requests need no answer any more.
     pub fn restart(&mut self) {
-        self.owed.clear();
+        self.open.clear();
         self.servers.clear();
     }
 
@@ -205,11 +205,11 @@
             Event::List { scope, entries } => {
                 for e in entries {
                     let old = self.servers.get(&e.id.0).and_then(|s| s.1);
-                    let told = if e.state == State::Up { None } else { old.or(Some(now)) };
+                    let withdrawn_at = if e.state == State::Up { None } else { old.or(Some(now)) };
                     if self.servers.get(&e.id.0).is_some_and(|s| s.0.since != e.since) {
                         self.cold.remove(&e.id.0); // a new process has its own budget
                     }
-                    self.servers.insert(e.id.0, (e.clone(), told));
+                    self.servers.insert(e.id.0, (e.clone(), withdrawn_at));
                 }
                 if *scope == Scope::Full {
                     for (id, s) in &mut self.servers {
@@ -220,19 +220,19 @@
                 }
             }
             Event::Request { id, class, budget, .. } => {
-                let owed = Owed { class: class.0, due: now + budget, sent: vec![], answered: false };
-                self.owed.insert(id.0, owed);
+                let open = OpenRequest { class: class.0, due: now + budget, sent: vec![], answered: false };
+                self.open.insert(id.0, open);
             }
             Event::Ended { request, attempt, outcome, closed, .. } => {
-                if let Some(o) = self.owed.get_mut(&request.0) {
+                if let Some(o) = self.open.get_mut(&request.0) {
                     o.answered |= closed;
                     if let Some(s) = o.sent.get_mut(*attempt as usize) {
-                        (s.over, s.ran) = (true, outcome.may_have_run());
+                        (s.ended, s.may_have_run) = (true, outcome.may_have_run());
                     }
                 }
             }
             Event::Abandoned(id) => {
-                if let Some(o) = self.owed.get_mut(&id.0) {
+                if let Some(o) = self.open.get_mut(&id.0) {
                     o.answered = true;
                 }
             }
@@ -244,10 +244,10 @@
         match action {
             Action::Send { request, backend, .. } => self.sent(now, request.0, backend.0),
             Action::Refuse { request, .. } => {
-                let Some(o) = self.owed.get(&request.0) else {
+                let Some(o) = self.open.get(&request.0) else {
                     return self.breach(now, format!("refused {request:?}, which is not held"));
                 };
-                let ran = o.sent.iter().any(|s| !s.over || s.ran);
+                let ran = o.sent.iter().any(|s| !s.ended || s.may_have_run);
                 let allowed = match self.settings.classes[o.class].effect {
                     Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
                     _ => !ran,
@@ -263,7 +263,7 @@
     }
 
     fn answered(&mut self, now: Millis, id: u64) {
-        match self.owed.get_mut(&id) {
+        match self.open.get_mut(&id) {
             Some(o) if !o.answered => o.answered = true,
             _ => self.breach(now, format!("a second answer for {id}")),
         }
@@ -271,18 +271,18 @@
 
     fn sent(&mut self, now: Millis, id: u64, to: u64) {
         let limits = self.settings.limits;
-        let Some((server, told)) = self.servers.get(&to).cloned() else {
+        let Some((server, withdrawn_at)) = self.servers.get(&to).cloned() else {
             return self.breach(now, format!("sent to {to}, which no list named"));
         };
-        if told.is_some_and(|t| now > t) {
+        if withdrawn_at.is_some_and(|t| now > t) {
             self.breach(now, format!("sent to {to}, told to drain or gone"));
         }
-        let Some(o) = self.owed.get(&id) else {
+        let Some(o) = self.open.get(&id) else {
             return self.breach(now, format!("sent {id}, which is not held"));
         };
         let effect = self.settings.classes[o.class].effect;
-        let out = o.sent.iter().any(|s| !s.over);
-        let ran = o.sent.iter().find(|s| !s.over || s.ran);
+        let out = o.sent.iter().any(|s| !s.ended);
+        let ran = o.sent.iter().find(|s| !s.ended || s.may_have_run);
         let mut wrong = vec![];
         if o.answered {
             wrong.push("after its answer");
@@ -313,12 +313,17 @@
         }
         let texts: Vec<String> = wrong.iter().map(|w| format!("sent {id} {w}")).collect();
         texts.into_iter().for_each(|t| self.breach(now, t));
-        self.owed.get_mut(&id).unwrap().sent.push(Sent { server: to, at: now, over: false, ran: true });
+        self.open.get_mut(&id).unwrap().sent.push(SentAttempt {
+            server: to,
+            at: now,
+            ended: false,
+            may_have_run: true,
+        });
         if let Some(since) = server.since.filter(|s| now - s < limits.cold) {
             let sent = self.cold.entry(to).or_default();
             sent.push(now);
             sent.retain(|t| *t > now - limits.fall);
-            // If every proxy did the same: sure capacity over the window, plus one request each for chance.
+            // If every proxy did the same: certain capacity over the window, plus one request per proxy as tolerance.
             let age = ((now - since) / limits.cold).clamp(0.0, 1.0);
             let part = limits.start_capacity + (1.0 - limits.start_capacity) * age;
             let budget = limits.fall_multiple * part * server.rating * limits.fall;
@@ -330,15 +335,15 @@
         }
     }
 
-    /// Looks for answers overdue.
-    pub fn look(&mut self, now: Millis) {
+    /// Records overdue answers.
+    pub fn check_overdue(&mut self, now: Millis) {
         let slack = 20.0;
         let late: Vec<u64> =
-            self.owed.iter().filter(|(_, o)| !o.answered && now > o.due + slack).map(|(id, _)| *id).collect();
+            self.open.iter().filter(|(_, o)| !o.answered && now > o.due + slack).map(|(id, _)| *id).collect();
         for id in late {
-            self.owed.get_mut(&id).unwrap().answered = true;
+            self.open.get_mut(&id).unwrap().answered = true;
             self.breach(now, format!("no answer for {id} in time"));
         }
-        self.owed.retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.over));
+        self.open.retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.ended));
     }
 }
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -1,32 +1,33 @@
-//! The learned limit: it grows only where demand shows that it pays, and comes back from what befalls a server.
+//! The learned limit: it grows only where demand shows that more requests pay off, and it recovers from disturbances.
 use wharfhitch::limit::{Limit, MOST, Ratings, Why};
 
-const LOOK: f64 = 100.0;
+/// Interval between reviews, in ms.
+const REVIEW_INTERVAL_MS: f64 = 100.0;
 
-/// A server under demand that never ends, in rounds: each request takes what `latency` says of the number held.
-struct Played {
+/// A server under constant demand, simulated in rounds: each request takes `latency(requests held)`.
+struct SimulatedServer {
     limit: Limit,
     now: f64,
     prior: f64,
-    pressed: bool,
+    demand_waits: bool,
 }
 
-impl Played {
+impl SimulatedServer {
     fn new(prior: f64) -> Self {
-        Played { limit: Limit::new(0.0), now: 0.0, prior, pressed: true }
+        SimulatedServer { limit: Limit::new(0.0), now: 0.0, prior, demand_waits: true }
     }
 
     fn slots(&self) -> f64 {
         self.limit.slots(self.prior)
     }
 
-    /// Plays so many looks; returns why the limit moved at each.
-    fn play(&mut self, looks: usize, latency: impl Fn(f64) -> f64) -> Vec<Why> {
+    /// Simulates a number of reviews; returns the reason for each change of the limit.
+    fn run(&mut self, reviews: usize, latency: impl Fn(f64) -> f64) -> Vec<Why> {
         let mut moves = Vec::new();
-        for _ in 0..looks {
+        for _ in 0..reviews {
             let held = self.slots().floor().max(1.0);
             let takes = latency(held);
-            let (mut at, end) = (self.now, self.now + LOOK);
+            let (mut at, end) = (self.now, self.now + REVIEW_INTERVAL_MS);
             while at + takes <= end {
                 for i in 0..held as u32 {
                     let spread = [0.9, 1.1, 1.0][i as usize % 3];
@@ -35,7 +36,7 @@
                 at += takes;
             }
             self.now = end;
-            moves.extend(self.limit.review(self.now, self.prior, self.pressed, latency(held) > 50.0));
+            moves.extend(self.limit.review(self.now, self.prior, self.demand_waits, latency(held) > 50.0));
         }
         moves
     }
@@ -46,62 +47,62 @@
 }
 
 #[test]
-fn without_demand_a_rating_stands_whatever_the_answers_say() {
-    let mut p = Played::new(3.0);
-    p.pressed = false;
-    assert_eq!(p.play(100, cores(50.0)), []);
+fn without_demand_the_rating_applies_whatever_the_answers_show() {
+    let mut p = SimulatedServer::new(3.0);
+    p.demand_waits = false;
+    assert_eq!(p.run(100, cores(50.0)), []);
     assert_eq!((p.slots(), p.limit.learned()), (3.0, false));
 }
 
 #[test]
 fn under_demand_a_limit_grows_while_more_requests_bring_more_answers() {
-    let mut p = Played::new(1.0);
-    p.play(60, cores(12.0));
+    let mut p = SimulatedServer::new(1.0);
+    p.run(60, cores(12.0));
     assert!((10.0..18.0).contains(&p.slots()), "{}", p.slots());
 }
 
 #[test]
-fn a_right_rating_is_tried_ever_more_rarely_and_left_where_it_is() {
-    let mut p = Played::new(12.0);
+fn an_accurate_rating_is_probed_ever_more_rarely_and_kept() {
+    let mut p = SimulatedServer::new(12.0);
     let tries: Vec<usize> =
-        (0..4).map(|_| p.play(150, cores(11.0)).iter().filter(|w| **w == Why::Probing).count()).collect();
+        (0..4).map(|_| p.run(150, cores(11.0)).iter().filter(|w| **w == Why::Probing).count()).collect();
     assert!((10.0..15.0).contains(&p.slots()), "{}", p.slots());
     assert!(tries[3] < tries[0] && tries[3] <= 4, "{tries:?}");
 }
 
 #[test]
-fn a_rating_far_too_high_is_cut_once_crowding_shows() {
-    let mut p = Played::new(50.0);
+fn a_rating_far_too_high_is_cut_once_congestion_shows() {
+    let mut p = SimulatedServer::new(50.0);
     (1..8).for_each(|held| {
         (0..8).for_each(|_| p.limit.answer(p.now + 20.0, p.now + 0.001, f64::from(held), 20.0));
     });
-    let moves = p.play(40, cores(12.0));
+    let moves = p.run(40, cores(12.0));
     println!("{moves:?}");
     assert!((10.0..16.0).contains(&p.slots()), "{}", p.slots());
 }
 
 #[test]
 fn a_neighbour_costs_slots_only_while_it_is_there() {
-    let mut p = Played::new(1.0);
-    p.play(60, cores(12.0));
+    let mut p = SimulatedServer::new(1.0);
+    p.run(60, cores(12.0));
     let before = p.slots();
-    p.play(100, cores(6.0));
+    p.run(100, cores(6.0));
     let during = p.slots();
-    p.play(40, cores(12.0));
+    p.run(40, cores(12.0));
     assert!(p.slots() > 0.8 * before, "{before} {during} {}", p.slots());
 }
 
 #[test]
-fn latency_from_outside_takes_no_slots_for_good() {
-    let mut p = Played::new(1.0);
-    p.play(60, cores(12.0));
+fn added_network_latency_removes_no_slots_permanently() {
+    let mut p = SimulatedServer::new(1.0);
+    p.run(60, cores(12.0));
     let before = p.slots();
-    p.play(150, |held| 40.0 + cores(12.0)(held)); // a slow network, at all loads alike
+    p.run(150, |held| 40.0 + cores(12.0)(held)); // a slow network, independent of load
     assert!(p.slots() > 0.8 * before, "{before} {}", p.slots());
 }
 
 #[test]
-fn alone_a_full_names_the_limit_and_served_requests_are_its_floor() {
+fn for_a_single_proxy_a_rejection_gives_the_limit_and_served_requests_its_floor() {
     let mut limit = Limit::new(0.0);
     assert!(limit.full(1.0, 0.5, 4.0, true, 50.0));
     assert_eq!(limit.slots(50.0), 4.0);
@@ -109,7 +110,7 @@
     (0..8).for_each(|i| limit.answer(f64::from(i), 0.5, 9.0, 20.0));
     assert!(limit.full(9.0, 0.5, 3.0, true, 50.0), "from 50 down");
     assert_eq!(limit.slots(50.0), 9.0, "it has just served nine");
-    // Where others send too, one 'full' is chance.
+    // Where other proxies send too, a single rejection may be due to chance.
     let mut limit = Limit::new(0.0);
     assert!(!limit.full(100.0, 99.0, 3.0, false, 50.0));
     assert!((0..20).any(|i| limit.full(200.0 + f64::from(i), 199.0, 3.0, false, 50.0)));
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn a_trial_whose_end_is_never_told_ends_by_itself() {
+fn a_joined_probe_whose_end_is_never_reported_expires() {
     let mut limit = Limit::new(0.0);
     limit.told(0.0, Some(16.0), true, 8.0);
     assert_eq!((limit.slots(8.0), limit.known()), (16.0, (Some(16.0), true)));
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn what_another_proxy_found_is_taken_over_and_its_failure_lets_the_kind_rest() {
+fn a_peers_result_is_applied_and_its_failed_probe_pauses_the_kind() {
     let mut limit = Limit::new(0.0);
     limit.told(0.0, Some(16.0), true, 8.0);
     assert_eq!(limit.told(300.0, Some(16.0), false, 8.0), Some(false), "the rating proved wrong");
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -1,4 +1,4 @@
-//! Long requests and answers: what a server is charged for, and what is tried again.
+//! Long requests and answers: what counts against a server, and what is retried.
 mod common;
 use common::*;
 use wharfhitch::*;
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn an_upload_takes_no_slot_until_it_has_gone_out() {
+fn an_upload_takes_no_slot_until_it_is_complete() {
     let mut hand = hand(1);
     assert_eq!(sends(&hand.give(request(1, 1, 900.0))), 1);
     assert_eq!(sends(&hand.give(request(2, 1, 900.0))), 0, "the slot is taken");
-    assert_eq!(sends(&hand.give(Event::Uploading(RequestId(1)))), 1, "and free while the first goes out");
+    assert_eq!(sends(&hand.give(Event::Uploading(RequestId(1)))), 1, "and free while the first is uploaded");
     assert!(hand.give(ended(2, 0, 5.0, Outcome::Served)).is_empty());
-    // No time-out counts meanwhile, however long it takes.
+    // No timeout applies during the upload, however long it takes.
     assert!(hand.pass(60_000.0).is_empty());
     assert!(hand.give(uploaded(1, 900.0)).is_empty());
     assert_eq!(sends(&hand.give(request(3, 1, 900.0))), 0, "the server is at work");
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn one_that_has_gone_out_in_part_is_answered_at_once_and_not_sent_again() {
+fn a_partly_sent_request_is_answered_at_once_and_not_sent_again() {
     let mut hand = hand(2);
     assert_eq!(sends(&hand.give(request(1, 1, 900.0))), 1);
     hand.give(Event::Uploading(RequestId(1)));
     hand.pass(5000.0);
-    // Its start is still kept: it may go again, with all the client's patience.
+    // Its start is still buffered: it may be sent again, with the client's full budget.
     hand.give(uploaded(1, 900.0));
     assert_eq!(sends(&hand.give(ended(1, 0, 1.0, Outcome::ConnectFailed))), 1);
     hand.give(Event::Uploading(RequestId(1)));
@@ -47,15 +47,18 @@
 }
 
 #[test]
-fn a_long_answer_s_server_is_free_and_its_end_tells_how_it_did() {
+fn a_server_is_free_once_its_long_answer_has_begun() {
     let mut hand = hand(1);
     assert_eq!(sends(&hand.give(request(1, 0, 900.0))), 1);
     assert_eq!(sends(&hand.give(request(2, 0, 900.0))), 0);
     let begun = hand.give(Event::Started { request: RequestId(1), attempt: 0 });
     assert_eq!(sends(&begun), 1, "the slot is free for the next");
     assert!(hand.give(ended(2, 0, 5.0, Outcome::Served)).is_empty());
-    assert!(hand.pass(60_000.0).is_empty(), "who reads slowly is neither answered again nor given up");
+    assert!(hand.pass(60_000.0).is_empty(), "a slow reader's request is neither answered again nor given up");
     let request = RequestId(1);
     let broken = Event::Ended { request, attempt: 0, latency: 20.0, outcome: Outcome::Reset, closed: true };
-    assert!(hand.give(broken).is_empty(), "what the client has begun to read is not sent again");
+    assert!(
+        hand.give(broken).is_empty(),
+        "a request whose answer the client has begun to read is not sent again"
+    );
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The four rules over seeded random but legal event streams, watched by an independent checker.
+//! Checks the four rules on seeded random but legal event streams with an independent checker.
 mod common;
 use common::*;
 use wharfhitch::*;
@@ -9,8 +9,8 @@
     Message(Vec<u8>),
 }
 
-/// A small random world around one proxy. It is no model of servers: it only makes legal event streams.
-struct World {
+/// A random environment of one proxy. It does not model servers, it only generates legal event streams.
+struct RandomEnvironment {
     rng: fastrand::Rng,
     now: Millis,
     balancer: Balancer,
@@ -23,11 +23,11 @@
     tamper: fn(&mut Vec<Action>),
 }
 
-impl World {
+impl RandomEnvironment {
     fn new(seed: u64, settings: Settings, tamper: fn(&mut Vec<Action>)) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let list = (0..rng.u64(0..14)).map(server).collect();
-        World {
+        RandomEnvironment {
             balancer: Balancer::new(settings.clone(), seed),
             checker: Checker::new(settings.clone(), 60.0),
             rng,
@@ -62,7 +62,7 @@
                 Action::Broadcast(bytes) => {
                     assert!(bytes.len() <= 256);
                     if self.rng.f64() < 0.5 {
-                        self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer said the like
+                        self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer had sent the same
                     }
                 }
                 Action::Subscribe | Action::FetchList => {
@@ -112,7 +112,7 @@
                 let k = self.rng.usize(0..self.list.len());
                 (self.list[k].state, self.list[k].since) = (State::Up, Some(self.now - 300.0));
                 entries.push(self.list[k].clone());
-                entries.push(self.list[k].clone()); // a repeated line does no harm
+                entries.push(self.list[k].clone()); // a repeated entry is harmless
             }
             4 => return self.give(Event::List { scope: Scope::Failed, entries: vec![] }),
             _ => {
@@ -152,7 +152,7 @@
                     }
                 }
             }
-            self.checker.look(self.now);
+            self.checker.check_overdue(self.now);
         }
         self.checker.breaches
     }
@@ -161,7 +161,7 @@
         match self.rng.u32(0..400) {
             0..6 => self.change_list(),
             6 => {
-                // Killed and started again: nothing of what it held comes back.
+                // Kill and restart: no event of its former requests arrives any more.
                 self.balancer = Balancer::new(self.settings.clone(), self.next);
                 self.checker.restart();
                 self.ends.clear();
@@ -214,7 +214,7 @@
 fn the_four_rules_hold_over_random_streams() {
     for (v, settings) in variants().into_iter().enumerate() {
         for seed in 0..12 {
-            let breaches = World::new(seed, settings.clone(), |_| {}).run(20_000.0);
+            let breaches = RandomEnvironment::new(seed, settings.clone(), |_| {}).run(20_000.0);
             assert!(
                 breaches.is_empty(),
                 "variant {v}, seed {seed}: {:?}",
@@ -241,16 +241,16 @@
     assert_eq!(run(), run());
 }
 
-fn caught(tamper: fn(&mut Vec<Action>), what: &str) {
+fn assert_detected(tamper: fn(&mut Vec<Action>), what: &str) {
     let all: Vec<String> =
-        (0..40).flat_map(|seed| World::new(seed, settings(4), tamper).run(20_000.0)).collect();
+        (0..40).flat_map(|seed| RandomEnvironment::new(seed, settings(4), tamper).run(20_000.0)).collect();
     assert!(all.iter().any(|b| b.contains(what)), "the checker missed '{what}': {:?}", all.first());
 }
 
-/// The checker must be able to fail: each rule is broken on purpose and seen.
+/// The checker must detect breaches: each rule is broken on purpose.
 #[test]
-fn the_checker_sees_broken_rules() {
-    caught(
+fn the_checker_detects_broken_rules() {
+    assert_detected(
         |out| {
             let twice: Vec<Action> =
                 out.iter().filter(|a| matches!(a, Action::Send { .. })).cloned().collect();
@@ -258,8 +258,8 @@
         },
         "never run twice",
     );
-    caught(|out| out.retain(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))), "in time");
-    caught(
+    assert_detected(|out| out.retain(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))), "in time");
+    assert_detected(
         |out| {
             for a in out.iter_mut() {
                 if let Action::Fail(request) = *a {
@@ -269,7 +269,7 @@
         },
         "which may have run",
     );
-    caught(
+    assert_detected(
         |out| {
             for a in out.iter_mut() {
                 if let Action::Send { backend, .. } = a {
@@ -279,7 +279,7 @@
         },
         "told to drain",
     );
-    caught(
+    assert_detected(
         |out| {
             let cold = |a: &&Action| matches!(a, Action::Send { backend, .. } if backend.0 >= 100);
             if let Some(a) = out.iter().find(cold).cloned() {
--- a/tests/threshold.rs
+++ b/tests/threshold.rs
@@ -1,4 +1,4 @@
-//! The threshold against the delay formulas of the paper, computed another way.
+//! Compares the threshold with the delay formulas of the paper, computed independently.
 use wharfhitch::threshold;
 
 /// D_τ of (3.1) and (3.2) with μ_slow = 1 and μ_fast = R, from the M/M/m/K state probabilities.
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn it_minimises_the_mean_delay() {
+fn threshold_minimises_the_mean_delay() {
     for m in [1u32, 2, 3, 7, 20, 60, 200] {
         for rho in [0.1, 0.5, 0.8, 0.95, 0.999, 1.0, 1.001, 1.05, 1.3, 2.0] {
             for ratio in [1.05, 1.5, 2.0, 4.0, 10.0] {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn it_is_the_largest_with_a_negative_difference() {
+fn threshold_is_the_largest_with_a_negative_difference() {
     for (m, rho, ratio) in [(1, 0.7, 6.0), (4, 0.9, 3.0), (10, 1.0, 4.0), (30, 0.98, 2.5)] {
         let tau = threshold(f64::from(m), rho, ratio);
         assert!(tau > 0, "a case that tests nothing");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn odd_arguments_are_harmless() {
+fn invalid_arguments_are_harmless() {
     for m in [0.0, 0.2, 1.0, 5.5] {
         for rho in [0.0, 1.0, 1e9] {
             for ratio in [0.0, 1.0, 1.0 + 1e-12, 50.0] {
--- a/tests/unrated.rs
+++ b/tests/unrated.rs
@@ -1,4 +1,4 @@
-//! Servers of which nobody tells the size: what they hold is not taken for one request each until probes have shown more.
+//! Servers of unknown size: they are not limited to one request each until probes have shown more.
 mod common;
 
 use common::*;
@@ -9,8 +9,8 @@
     Settings { rating: Rating::Silent, may_tell, classes, ..settings(proxies) }
 }
 
-/// Requests that one of `proxies` has out at 12 servers when many come at once, answers having taken 25 ms so far.
-fn out_at_once(proxies: u32, may_tell: bool, aim: Millis) -> usize {
+/// Requests that one of `proxies` has in flight at 12 servers when many arrive at once, after answers of 25 ms.
+fn in_flight_at_once(proxies: u32, may_tell: bool, aim: Millis) -> usize {
     let mut hand = Hand::new(unrated(proxies, may_tell, aim), (1..=12).map(server).collect());
     hand.train(0, 120, |_| 25.0);
     hand.pass(2000.0);
@@ -19,20 +19,20 @@
 
 #[test]
 fn a_server_of_unknown_size_may_hold_what_one_core_answers_in_half_the_aim() {
-    // deploy/sites/kaart-ferry: 12 servers of 4 cores were believed to hold one request each, a quarter was served.
-    let of_four = out_at_once(4, true, 300.0);
+    // deploy/sites/kaart-ferry: 12 servers of 4 cores were limited to one request each, and a quarter was served.
+    let of_four = in_flight_at_once(4, true, 300.0);
     assert!(
         (12..=60).contains(&of_four),
         "{of_four}: a quarter of 12 times 6, and what the silent others leave"
     );
-    let alone = out_at_once(1, false, 300.0);
+    let alone = in_flight_at_once(1, false, 300.0);
     assert!((50..=90).contains(&alone), "{alone}: 12 times 6");
-    // Where a request takes much of its aim one is what it may hold, as before.
-    assert!(out_at_once(1, false, 50.0) <= 14);
+    // Where a request takes much of its aim, the limit is still one request.
+    assert!(in_flight_at_once(1, false, 50.0) <= 14);
 }
 
 #[test]
-fn crowds_lower_what_is_believed_before_anything_is_learned() {
+fn congestion_lowers_the_estimate_before_anything_is_learned() {
     let mut hand = Hand::new(unrated(1, false, 300.0), (1..=12).map(server).collect());
     hand.train(0, 120, |_| 25.0);
     let before: f64 = hand.balancer.beliefs().map(|b| b.rated).sum();
