--- a/src/choice.rs
+++ b/src/choice.rs
@@ -539,8 +539,8 @@
     /// queue is no longer than the requests in flight.
     fn useful_until(&self, r: &Request) -> Millis {
         let late = self.cfg.classes[r.class].late_worth > 0.0;
-        let crowded = r.waiting && self.waiting > self.running.len();
-        if late && !crowded { r.due_at } else { r.aim_at.min(r.due_at) }
+        let congested = r.waiting && self.waiting > self.running.len();
+        if late && !congested { r.due_at } else { r.aim_at.min(r.due_at) }
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
--- a/tests/change.rs
+++ b/tests/change.rs
@@ -4,10 +4,10 @@
 use std::collections::{HashMap, HashSet};
 use wharfhitch::*;
 
-fn hand() -> (Hand, Settings) {
+fn harness() -> (Harness, Settings) {
     let settings = settings(1);
     let servers = (1..5).map(server).collect();
-    (Hand::new(settings.clone(), servers), settings)
+    (Harness::new(settings.clone(), servers), settings)
 }
 
 fn change(settings: Settings, live: Vec<bool>, fresh: Vec<(usize, Option<usize>)>) -> Event {
@@ -21,35 +21,35 @@
 
 #[test]
 fn an_open_request_keeps_the_rules_under_which_it_arrived() {
-    let (mut hand, mut settings) = hand();
-    assert_eq!(sends(&hand.give(request(1, 0, 2000.0))), 1);
+    let (mut harness, mut settings) = harness();
+    assert_eq!(sends(&harness.give(request(1, 0, 2000.0))), 1);
     // The safe class becomes unsafe under another number, and only one attempt is allowed.
     settings.classes.push(class(Effect::Unsafe, 800.0));
     settings.limits.max_attempts = 1;
-    hand.give(change(settings, vec![false, false, false, true], vec![(3, None)]));
-    assert_eq!(sends(&hand.give(ended(1, 0, 10.0, Outcome::Error))), 1, "it was safe to repeat, and is");
-    assert_eq!(sends(&hand.give(request(2, 3, 2000.0))), 1);
-    assert_eq!(hand.give(ended(2, 0, 10.0, Outcome::Error)), [Action::Fail(RequestId(2))]);
-    assert_eq!(sends(&hand.give(request(3, 3, 2000.0))), 1);
-    let refused = hand.give(ended(3, 0, 10.0, Outcome::ConnectFailed));
+    harness.give(change(settings, vec![false, false, false, true], vec![(3, None)]));
+    assert_eq!(sends(&harness.give(ended(1, 0, 10.0, Outcome::Error))), 1, "it was safe to repeat, and is");
+    assert_eq!(sends(&harness.give(request(2, 3, 2000.0))), 1);
+    assert_eq!(harness.give(ended(2, 0, 10.0, Outcome::Error)), [Action::Fail(RequestId(2))]);
+    assert_eq!(sends(&harness.give(request(3, 3, 2000.0))), 1);
+    let refused = harness.give(ended(3, 0, 10.0, Outcome::ConnectFailed));
     assert!(matches!(refused[..], [Action::Refuse { .. }]), "one attempt only: {refused:?}");
 }
 
 #[test]
 fn learned_values_carry_over_if_the_class_is_the_same() {
     for (previous, kept) in [(Some(1), true), (None, false)] {
-        let (mut hand, mut settings) = hand();
+        let (mut harness, mut settings) = harness();
         for id in 0..200 {
-            let sent = hand.give(request(id, 1, 3000.0));
+            let sent = harness.give(request(id, 1, 3000.0));
             assert_eq!(sends(&sent), 1, "{id}");
-            hand.pass(2.0);
-            hand.give(ended(id, 0, 2.0, Outcome::Served));
+            harness.pass(2.0);
+            harness.give(ended(id, 0, 2.0, Outcome::Served));
         }
         settings.classes.push(class(Effect::Unsafe, 1300.0));
-        hand.give(change(settings, vec![true, false, true, true], vec![(3, previous)]));
-        assert_eq!(sends(&hand.give(request(1000, 3, 200.0))), 1);
+        harness.give(change(settings, vec![true, false, true, true], vec![(3, previous)]));
+        assert_eq!(sends(&harness.give(request(1000, 3, 200.0))), 1);
         // It is retried only if an answer can be expected within the 200 ms that its client waits.
-        let next = hand.give(ended(1000, 0, 1.0, Outcome::ConnectFailed));
+        let next = harness.give(ended(1000, 0, 1.0, Outcome::ConnectFailed));
         assert_eq!(sends(&next) > 0, kept, "{previous:?}: {next:?}");
     }
 }
@@ -58,12 +58,12 @@
 fn random_changes_between_random_requests_break_nothing() {
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut hand, mut settings) = hand();
+        let (mut harness, mut settings) = harness();
         let mut live = vec![true; settings.classes.len()];
         let mut view = DriverView::default();
         let mut asked = 0;
         for step in 0..300 {
-            let passed = hand.pass(rng.f64() * 30.0);
+            let passed = harness.pass(rng.f64() * 30.0);
             view.note(&passed);
             let actions = match rng.u32(0..10) {
                 0 => {
@@ -74,12 +74,12 @@
                     live.push(true);
                     settings.limits.max_attempts = rng.u32(1..5);
                     let id = settings.classes.len() - 1;
-                    hand.give(change(settings.clone(), live.clone(), vec![(id, previous)]))
+                    harness.give(change(settings.clone(), live.clone(), vec![(id, previous)]))
                 }
                 1..=5 => {
                     let class = (0..live.len()).rev().find(|i| live[*i]).expect("the newest lives");
                     asked += 1;
-                    hand.give(request(step, class, 1500.0))
+                    harness.give(request(step, class, 1500.0))
                 }
                 _ if !view.open.is_empty() => {
                     let (id, attempt) = view.open.swap_remove(rng.usize(0..view.open.len()));
@@ -88,7 +88,7 @@
                         view.answered.insert(id);
                     }
                     let (request, closed) = (RequestId(id), view.answered.contains(&id));
-                    hand.give(Event::Ended { request, attempt, latency: 5.0, outcome, closed })
+                    harness.give(Event::Ended { request, attempt, latency: 5.0, outcome, closed })
                 }
                 _ => Vec::new(),
             };
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -8,24 +8,24 @@
 }
 
 /// Sends `n` unsafe requests; returns request and server of those sent at once.
-fn burst(hand: &mut Hand, first: u64, n: u64) -> Vec<(u64, u64)> {
-    (first..first + n).flat_map(|id| sends(&hand.give(request(id, 1, 3000.0)))).collect()
+fn burst(harness: &mut Harness, first: u64, n: u64) -> Vec<(u64, u64)> {
+    (first..first + n).flat_map(|id| sends(&harness.give(request(id, 1, 3000.0)))).collect()
 }
 
 #[test]
 fn a_request_with_hardly_any_time_left_is_answered_at_once() {
     // Such requests were lost: clients' retries came with budgets shorter than the time to the module's next tick.
-    let mut hand = Hand::new(settings(1), vec![server(1)]);
-    assert_eq!(refusals(&hand.give(request(1, 0, 15.0))), 1);
+    let mut harness = Harness::new(settings(1), vec![server(1)]);
+    assert_eq!(refusals(&harness.give(request(1, 0, 15.0))), 1);
 }
 
 #[test]
 fn holds_for_a_faster_server_and_sends_when_the_queue_outgrows_the_threshold() {
     let list = vec![server(1), Backend { kind: Some(KindId(1)), ..server(2) }];
-    let mut hand = Hand::new(settings(1), list);
-    hand.train(0, 120, |to| if to == 1 { 20.0 } else { 100.0 });
-    hand.pass(300.0);
-    let sent = burst(&mut hand, 1000, 30);
+    let mut harness = Harness::new(settings(1), list);
+    harness.train(0, 120, |to| if to == 1 { 20.0 } else { 100.0 });
+    harness.pass(300.0);
+    let sent = burst(&mut harness, 1000, 30);
     let fast = sent.iter().filter(|s| s.1 == 1).count();
     assert!(fast > 0 && sent[..fast].iter().all(|s| s.1 == 1), "the fast server fills first: {sent:?}");
     assert!(sent.len() < 30, "some are held");
@@ -33,7 +33,8 @@
     // The threshold releases the first waiting request only once the queue has grown.
     let spilled = 1000 + fast as u64;
     assert_eq!(sent[fast], (spilled, 2), "the oldest goes: {sent:?}");
-    let mut again = Hand::new(settings(1), vec![server(1), Backend { kind: Some(KindId(1)), ..server(2) }]);
+    let mut again =
+        Harness::new(settings(1), vec![server(1), Backend { kind: Some(KindId(1)), ..server(2) }]);
     again.train(0, 120, |to| if to == 1 { 20.0 } else { 100.0 });
     again.pass(300.0);
     let short = burst(&mut again, 1000, fast as u64 + 3);
@@ -43,32 +44,32 @@
 #[test]
 fn a_hung_server_is_closed_and_probed_only_with_repeatable_requests() {
     // Scenario `hang`: requests sent to the hung server were lost one after the other.
-    let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
-    hand.train(0, 60, |_| 50.0);
-    let stuck = burst(&mut hand, 1000, 8);
+    let mut harness = Harness::new(settings(1), vec![server(1), server(2)]);
+    harness.train(0, 60, |_| 50.0);
+    let stuck = burst(&mut harness, 1000, 8);
     let on_one: Vec<u64> = stuck.iter().filter(|s| s.1 == 1).map(|s| s.0).collect();
     assert!(!on_one.is_empty());
-    hand.pass(100.0);
+    harness.pass(100.0);
     let mut later = vec![];
     for (id, _) in stuck.iter().filter(|s| s.1 == 2) {
-        later.extend(sends(&hand.give(ended(*id, 0, 100.0, Outcome::Served))));
+        later.extend(sends(&harness.give(ended(*id, 0, 100.0, Outcome::Served))));
     }
-    hand.pass(500.0);
-    later.extend(burst(&mut hand, 2000, 2));
+    harness.pass(500.0);
+    later.extend(burst(&mut harness, 2000, 2));
     assert!(later.iter().all(|s| s.1 != 1), "still sent to the silent server: {later:?}");
 }
 
 #[test]
 fn fast_errors_close_a_server_and_do_not_improve_its_latency() {
-    let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
-    hand.train(0, 40, |_| 50.0);
+    let mut harness = Harness::new(settings(1), vec![server(1), server(2)]);
+    harness.train(0, 40, |_| 50.0);
     let mut failed = 0;
     for id in 1000..1060 {
-        let sent = sends(&hand.give(request(id, 1, 3000.0)));
+        let sent = sends(&harness.give(request(id, 1, 3000.0)));
         let Some(&(_, to)) = sent.first() else { continue };
-        hand.pass(2.0);
+        harness.pass(2.0);
         failed += u32::from(to == 1);
-        hand.give(ended(id, 0, 2.0, if to == 1 { Outcome::Error } else { Outcome::Served }));
+        harness.give(ended(id, 0, 2.0, if to == 1 { Outcome::Error } else { Outcome::Served }));
     }
     assert!((2..8).contains(&failed), "{failed} of 60 went to the failing server");
 }
@@ -76,22 +77,22 @@
 #[test]
 fn distrust_of_health_does_not_reopen_full_servers() {
     // Run iab5ffd: when most attempts failed, health was distrusted and full servers were flooded.
-    let mut hand = Hand::new(settings(1), (0..4).map(server).collect());
-    hand.train(0, 40, |_| 50.0);
+    let mut harness = Harness::new(settings(1), (0..4).map(server).collect());
+    harness.train(0, 40, |_| 50.0);
     let mut tries = 0;
     for id in 1000..1200 {
-        let mut sent = sends(&hand.give(request(id, 0, 2000.0)));
+        let mut sent = sends(&harness.give(request(id, 0, 2000.0)));
         let mut attempt = 0;
         while let Some((of, _)) = sent.pop() {
             tries += 1;
-            let out = hand.give(ended(of, attempt, 1.0, Outcome::Full));
+            let out = harness.give(ended(of, attempt, 1.0, Outcome::Full));
             attempt += 1;
             sent = sends(&out);
             if sent.first().is_some_and(|s| s.0 != of) {
                 break;
             }
         }
-        hand.pass(5.0);
+        harness.pass(5.0);
     }
     assert!(tries < 60, "{tries} tries within a second at four full servers");
 }
@@ -100,14 +101,14 @@
 fn a_congested_kind_gets_fewer_slots() {
     // Run i7496cc: overloaded servers looked as if they had more cores, and stayed overloaded.
     let big = |id| Backend { rating: 12.0, ..server(id) };
-    let mut hand = Hand::new(settings(1), vec![big(1), big(2)]);
-    hand.train(0, 120, |_| 40.0);
-    hand.pass(200.0);
-    let uncongested = burst(&mut hand, 1000, 60).len();
-    let mut congested_hand = Hand::new(settings(1), vec![big(1), big(2)]);
-    congested_hand.train(0, 120, |_| 40.0);
-    congested_hand.train(200, 200, |_| 200.0);
-    let congested = burst(&mut congested_hand, 1000, 60).len();
+    let mut harness = Harness::new(settings(1), vec![big(1), big(2)]);
+    harness.train(0, 120, |_| 40.0);
+    harness.pass(200.0);
+    let uncongested = burst(&mut harness, 1000, 60).len();
+    let mut congested_harness = Harness::new(settings(1), vec![big(1), big(2)]);
+    congested_harness.train(0, 120, |_| 40.0);
+    congested_harness.train(200, 200, |_| 200.0);
+    let congested = burst(&mut congested_harness, 1000, 60).len();
     assert!(congested < uncongested * 2 / 3, "{congested} slots while congested, {uncongested} otherwise");
 }
 
@@ -115,9 +116,9 @@
 fn a_few_slow_servers_take_no_slots_from_the_healthy_ones_of_their_kind() {
     // Run ib2a989: three of fourteen servers were eight times slower, and the slots of all others shrank.
     let with_messages = Settings { may_tell: true, ..settings(1) };
-    let mut hand = Hand::new(with_messages, (1..=10).map(server).collect());
-    hand.train(0, 300, |_| 40.0);
-    let (sent, _) = hand.drive(20_000, 2, |to, _| if to <= 7 { 600.0 } else { 40.0 });
+    let mut harness = Harness::new(with_messages, (1..=10).map(server).collect());
+    harness.train(0, 300, |_| 40.0);
+    let (sent, _) = harness.drive(20_000, 2, |to, _| if to <= 7 { 600.0 } else { 40.0 });
     // Three healthy servers with six slots, 40 ms each, for twenty seconds: the slots are never reduced.
     let taken = sent.iter().filter(|s| s.1 > 7).count();
     assert!(taken >= 2900, "the healthy servers got {taken} requests");
@@ -130,10 +131,10 @@
     let big = |id| Backend { kind: Some(KindId(1)), rating: 8.0, ..server(id) };
     let list: Vec<Backend> =
         (1..=8).map(|id| Backend { rating: 1.6, ..server(id) }).chain((11..=14).map(big)).collect();
-    let mut hand = Hand::new(with_messages, list);
+    let mut harness = Harness::new(with_messages, list);
     // A second request at a single core waits for the first.
     let (_, out) =
-        hand.drive(60_000, 1, |to, before| if to > 10 { 50.0 } else { 100.0 + 300.0 * before as f64 });
+        harness.drive(60_000, 1, |to, before| if to > 10 { 50.0 } else { 100.0 + 300.0 * before as f64 });
     let held = out.iter().filter(|&&to| to > 10).count();
     assert!(held >= 12, "four servers of four cores each hold {held}");
 }
@@ -143,12 +144,12 @@
     // Run La59078: a fleet congested from the first second took that latency as its baseline and stayed congested.
     let with_messages = Settings { may_tell: true, ..settings(1) };
     let list = vec![Backend { rating: 8.0, ..server(1) }];
-    let first = burst(&mut Hand::new(with_messages.clone(), list.clone()), 1000, 20).len();
+    let first = burst(&mut Harness::new(with_messages.clone(), list.clone()), 1000, 20).len();
     assert!((4..=6).contains(&first), "half of 8.8 slots at first: {first}");
-    let mut hand = Hand::new(with_messages, list);
-    hand.train(0, 80, |_| 50.0);
-    hand.pass(2000.0);
-    let later = burst(&mut hand, 2000, 20).len();
+    let mut harness = Harness::new(with_messages, list);
+    harness.train(0, 80, |_| 50.0);
+    harness.pass(2000.0);
+    let later = burst(&mut harness, 2000, 20).len();
     assert!((8..=9).contains(&later), "all of them once the kind is measured: {later}");
 }
 
@@ -160,8 +161,8 @@
     let mut at = vec![0u32; 20];
     for me in 0..n {
         let base = settings(n);
-        let mut hand = Hand::new(Settings { me, may_tell: true, ..base }, list.clone());
-        for (_, to) in burst(&mut hand, 0, 40) {
+        let mut harness = Harness::new(Settings { me, may_tell: true, ..base }, list.clone());
+        for (_, to) in burst(&mut harness, 0, 40) {
             at[to as usize] += 1;
         }
     }
@@ -178,9 +179,9 @@
     let mut without = 0;
     for me in 0..50 {
         let base = settings(250);
-        let mut hand = Hand::new(Settings { me, ..base }, (0..60).map(small).collect());
-        hand.pass(1500.0);
-        let sent = burst(&mut hand, 0, 30);
+        let mut harness = Harness::new(Settings { me, ..base }, (0..60).map(small).collect());
+        harness.pass(1500.0);
+        let sent = burst(&mut harness, 0, 30);
         assert!(sent.len() <= 20, "a small part of the fleet only: {}", sent.len());
         without += usize::from(sent.is_empty());
     }
@@ -191,8 +192,8 @@
 fn proxies_without_messages_keep_few_requests_in_flight() {
     // Run i1ce7d3: one slot at each server for each of 38 proxies made servers permanently slow.
     let base = settings(38);
-    let mut hand = Hand::new(Settings { warm_keys: true, ..base }, (0..40).map(server).collect());
-    hand.pass(500.0);
+    let mut harness = Harness::new(Settings { warm_keys: true, ..base }, (0..40).map(server).collect());
+    harness.pass(500.0);
     let ask = |id| Event::Request {
         id: RequestId(id),
         class: ClassId(1),
@@ -201,7 +202,7 @@
         budget: 3000.0,
         hint: None,
     };
-    let sent: usize = (0..200).map(|id| sends(&hand.give(ask(id))).len()).sum();
+    let sent: usize = (0..200).map(|id| sends(&harness.give(ask(id))).len()).sum();
     // Its fair share of about 104 slots is less than three.
     assert!((4..=9).contains(&sent), "{sent} in flight at once");
 }
@@ -210,7 +211,8 @@
 fn every_proxy_gives_a_key_the_same_home() {
     let home = |me: u32| {
         let base = settings(5);
-        let mut hand = Hand::new(Settings { me, warm_keys: true, ..base }, (0..12).map(server).collect());
+        let mut harness =
+            Harness::new(Settings { me, warm_keys: true, ..base }, (0..12).map(server).collect());
         let ask = |id, key| Event::Request {
             id: RequestId(id),
             class: ClassId(0),
@@ -221,8 +223,8 @@
         };
         let mut homes = vec![];
         for key in 1..9 {
-            homes.push(sends(&hand.give(ask(key, key)))[0].1);
-            hand.give(ended(key, 0, 0.0, Outcome::Served));
+            homes.push(sends(&harness.give(ask(key, key)))[0].1);
+            harness.give(ended(key, 0, 0.0, Outcome::Served));
         }
         homes
     };
@@ -234,21 +236,21 @@
 fn a_restart_listed_twice_in_one_update_is_still_a_cold_start() {
     // Found by the property test: the second entry of the same server cancelled its cold start.
     let fresh = Backend { since: Some(1000.0), ..server(1) };
-    let mut hand = Hand::new(settings(8), vec![server(1)]);
-    hand.give(Event::List { scope: Scope::Delta, entries: vec![fresh.clone(), fresh] });
-    let sent = burst(&mut hand, 0, 20);
+    let mut harness = Harness::new(settings(8), vec![server(1)]);
+    harness.give(Event::List { scope: Scope::Delta, entries: vec![fresh.clone(), fresh] });
+    let sent = burst(&mut harness, 0, 20);
     assert!(sent.is_empty(), "one of eight proxies has no budget yet for a cold server: {sent:?}");
 }
 
 #[test]
 fn a_drained_server_gets_no_requests_and_waiting_requests_are_answered() {
-    let mut hand = Hand::new(settings(1), vec![server(1)]);
-    hand.give(Event::List {
+    let mut harness = Harness::new(settings(1), vec![server(1)]);
+    harness.give(Event::List {
         scope: Scope::Delta,
         entries: vec![Backend { state: State::Draining, ..server(1) }],
     });
-    let mut out = hand.give(request(1, 1, 3000.0));
-    out.extend(hand.pass(3000.0));
+    let mut out = harness.give(request(1, 1, 3000.0));
+    out.extend(harness.pass(3000.0));
     assert!(sends(&out).is_empty());
     assert_eq!(refusals(&out), 1);
 }
@@ -256,9 +258,9 @@
 #[test]
 fn a_request_queued_twice_is_answered_once() {
     // A request sent out of order stayed in its queue and was answered a second time.
-    let mut hand = Hand::new(settings(1), vec![]);
-    hand.give(request(1, 1, 3000.0));
-    let out = hand.pass(4000.0);
+    let mut harness = Harness::new(settings(1), vec![]);
+    harness.give(request(1, 1, 3000.0));
+    let out = harness.pass(4000.0);
     assert_eq!(refusals(&out), 1);
 }
 
@@ -266,9 +268,9 @@
 fn invalid_ratings_are_harmless() {
     let odd = |rating| Backend { rating, ..server(3) };
     for rating in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
-        let mut hand = Hand::new(settings(3), vec![odd(rating), server(4)]);
-        burst(&mut hand, 0, 9);
-        let out = hand.pass(4000.0);
+        let mut harness = Harness::new(settings(3), vec![odd(rating), server(4)]);
+        burst(&mut harness, 0, 9);
+        let out = harness.pass(4000.0);
         assert!(refusals(&out) <= 9);
     }
 }
@@ -276,19 +278,19 @@
 #[test]
 fn a_running_request_is_answered_just_before_its_aim() {
     // Site bern: final answers up to 30 ms before the aim dropped requests that would have been served in time.
-    let mut hand = Hand::new(settings(1), vec![server(1)]);
-    assert_eq!(burst(&mut hand, 1, 1).len(), 1);
-    assert_eq!(refusals(&hand.pass(1190.0)), 0, "its aim is 1200 ms");
-    assert_eq!(refusals(&hand.pass(10.0)), 1);
+    let mut harness = Harness::new(settings(1), vec![server(1)]);
+    assert_eq!(burst(&mut harness, 1, 1).len(), 1);
+    assert_eq!(refusals(&harness.pass(1190.0)), 0, "its aim is 1200 ms");
+    assert_eq!(refusals(&harness.pass(10.0)), 1);
 }
 
-/// Like `Hand::train`, but all requests are of one class.
-fn serve(hand: &mut Hand, class: usize, first: u64, count: u64, latency: Millis) {
+/// Like `Harness::train`, but all requests are of one class.
+fn serve(harness: &mut Harness, class: usize, first: u64, count: u64, latency: Millis) {
     for id in first..first + count {
-        let sent = sends(&hand.give(request(id, class, 2000.0)));
+        let sent = sends(&harness.give(request(id, class, 2000.0)));
         assert_eq!(sent.len(), 1, "an idle server takes it");
-        hand.pass(latency);
-        hand.give(ended(id, 0, latency, Outcome::Served));
+        harness.pass(latency);
+        harness.give(ended(id, 0, latency, Outcome::Served));
     }
 }
 
@@ -296,23 +298,23 @@
 fn a_server_that_ignores_one_class_keeps_the_others() {
     // Scenario `class_fail`: requests of the ignored class were lost there until the fault ended, and each blocked
     // the only slot for the other classes.
-    let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
-    hand.train(0, 60, |_| 50.0);
-    serve(&mut hand, 2, 100, 20, 50.0);
-    hand.pass(300.0);
+    let mut harness = Harness::new(settings(1), vec![server(1), server(2)]);
+    harness.train(0, 60, |_| 50.0);
+    serve(&mut harness, 2, 100, 20, 50.0);
+    harness.pass(300.0);
     // Server 1 answers class 0 but not class 2; server 2 answers both.
     // Without health tracking by class, 7 requests are lost.
     let (mut lost, mut other, mut out) = (0, 0, vec![]);
     for id in 1000..1400 {
         let class = if id % 2 == 0 { 2 } else { 0 };
-        out.extend(sends(&hand.give(request(id, class, 2000.0))));
-        out.extend(sends(&hand.pass(50.0)));
+        out.extend(sends(&harness.give(request(id, class, 2000.0))));
+        out.extend(sends(&harness.pass(50.0)));
         for (id, to) in std::mem::take(&mut out) {
             let ignored = to == 1 && id % 2 == 0;
             lost += usize::from(ignored && id >= 1100);
             other += usize::from(to == 1 && id % 2 == 1 && id >= 1100);
             if !ignored {
-                hand.give(ended(id, 0, 50.0, Outcome::Served));
+                harness.give(ended(id, 0, 50.0, Outcome::Served));
             }
         }
     }
@@ -326,9 +328,9 @@
     let small = |id| Backend { rating: 1.0, ..server(id) };
     let mut holders = std::collections::HashMap::<u64, usize>::new();
     for me in 0..8 {
-        let mut hand = Hand::new(Settings { me, ..settings(8) }, (0..160).map(small).collect());
-        hand.pass(1500.0);
-        let sent = burst(&mut hand, 0, 60);
+        let mut harness = Harness::new(Settings { me, ..settings(8) }, (0..160).map(small).collect());
+        harness.pass(1500.0);
+        let sent = burst(&mut harness, 0, 60);
         assert!((8..=40).contains(&sent.len()), "{} of 20 slots in the mean", sent.len());
         sent.iter().for_each(|s| *holders.entry(s.1).or_default() += 1);
     }
@@ -342,14 +344,14 @@
     // 20 proxies with 29 one-core servers: a single own server causes long waits and idles for a round trip
     // between answers.
     let small = |id| Backend { rating: 1.0, ..server(id) };
-    let mut hand = Hand::new(settings(20), (0..29).map(small).collect());
-    hand.pass(500.0);
+    let mut harness = Harness::new(settings(20), (0..29).map(small).collect());
+    harness.pass(500.0);
     let mut reached = std::collections::HashSet::new();
     for id in 0..200 {
-        for (id, to) in sends(&hand.give(request(id, 0, 2000.0))) {
+        for (id, to) in sends(&harness.give(request(id, 0, 2000.0))) {
             reached.insert(to);
-            hand.pass(20.0);
-            hand.give(ended(id, 0, 20.0, Outcome::Served));
+            harness.pass(20.0);
+            harness.give(ended(id, 0, 20.0, Outcome::Served));
         }
     }
     assert!(reached.len() >= 15, "only {} of 29 servers", reached.len());
@@ -359,8 +361,8 @@
 fn late_answers_shrink_the_in_flight_window_of_shared_servers() {
     let out_at_once = |latency: Millis| {
         let small = |id| Backend { rating: 1.0, ..server(id) };
-        let mut hand = Hand::new(settings(20), (0..40).map(small).collect());
-        let (_, still) = hand.drive(6000, 12, |_, _| latency);
+        let mut harness = Harness::new(settings(20), (0..40).map(small).collect());
+        let (_, still) = harness.drive(6000, 12, |_, _| latency);
         still.len()
     };
     let (good, late) = (out_at_once(200.0), out_at_once(1100.0));
@@ -372,26 +374,27 @@
 fn removed_servers_do_not_accumulate() {
     // In long runs each replaced server kept its record, and all of them were reviewed ten times per second.
     for warm_keys in [false, true] {
-        let mut hand = Hand::new(Settings { warm_keys, may_tell: true, ..settings(2) }, vec![server(0)]);
-        hand.give(request(1, 2, 1e9)); // keyed: the first server must be known until the request ends
+        let mut harness =
+            Harness::new(Settings { warm_keys, may_tell: true, ..settings(2) }, vec![server(0)]);
+        harness.give(request(1, 2, 1e9)); // keyed: the first server must be known until the request ends
         let entry = |id: u64, state| Backend { state, ..server(id) };
         for id in 1..3000 {
             let entries = vec![entry(id, State::Up), entry(id - 1, State::Gone)];
-            let mut actions = hand.give(Event::List { scope: Scope::Delta, entries });
-            actions.extend(hand.pass(120.0));
-            actions.extend(hand.give(request(10 * id, 0, 3000.0)));
+            let mut actions = harness.give(Event::List { scope: Scope::Delta, entries });
+            actions.extend(harness.pass(120.0));
+            actions.extend(harness.give(request(10 * id, 0, 3000.0)));
             let mut out = sends(&actions);
             // Servers missing from a full list are removed too.
             if id % 100 == 0 {
-                out.extend(sends(&hand.give(full(vec![entry(id, State::Up)]))));
+                out.extend(sends(&harness.give(full(vec![entry(id, State::Up)]))));
             }
             while let Some((sent, _)) = out.pop() {
                 if sent > 1 {
-                    out.extend(sends(&hand.give(ended(sent, 0, 20.0, Outcome::Served))));
+                    out.extend(sends(&harness.give(ended(sent, 0, 20.0, Outcome::Served))));
                 }
             }
         }
-        assert!(hand.balancer.places() <= 8, "{} places", hand.balancer.places());
+        assert!(harness.balancer.places() <= 8, "{} places", harness.balancer.places());
     }
 }
 
@@ -401,10 +404,10 @@
     let mut settings = settings(1);
     settings.limits.most_held = 20;
     settings.classes[0].worth = 0.1;
-    let mut hand = Hand::new(settings, vec![server(1)]);
+    let mut harness = Harness::new(settings, vec![server(1)]);
     let mut given_up = vec![];
     for id in 0..60 {
-        for action in hand.give(request(id, (id % 2) as usize, 5000.0)) {
+        for action in harness.give(request(id, (id % 2) as usize, 5000.0)) {
             match action {
                 Action::Refuse { request, retry_after } => {
                     assert!(retry_after.is_some_and(|after| after > 0.0));
@@ -424,27 +427,27 @@
 fn a_baseline_that_is_too_low_costs_slots_only_temporarily() {
     // After a reload, a lucky start was taken as the baseline, and only a third of the slots was used for ten seconds.
     let with_messages = Settings { may_tell: true, ..settings(1) };
-    let mut hand = Hand::new(with_messages, vec![Backend { rating: 8.0, ..server(1) }]);
-    hand.train(0, 120, |_| 20.0);
-    hand.train(1000, 400, |_| 50.0);
-    let slots = burst(&mut hand, 5000, 20).len();
+    let mut harness = Harness::new(with_messages, vec![Backend { rating: 8.0, ..server(1) }]);
+    harness.train(0, 120, |_| 20.0);
+    harness.train(1000, 400, |_| 50.0);
+    let slots = burst(&mut harness, 5000, 20).len();
     assert!(slots >= 7, "{slots} of 8.8 slots");
 }
 
 #[test]
 fn failures_common_to_all_servers_close_none() {
     // Scenario wide+reset+stale: one attempt in six failed everywhere, and all servers were closed or on trial.
-    let mut hand = Hand::new(settings(1), (1..=10).map(server).collect());
-    hand.train(0, 100, |_| 50.0);
+    let mut harness = Harness::new(settings(1), (1..=10).map(server).collect());
+    harness.train(0, 100, |_| 50.0);
     let (mut out, mut count, mut refused) = (vec![], 0u64, 0i64);
     for id in 1000..4000 {
-        let mut actions = hand.pass(5.0);
-        actions.extend(hand.give(request(id, 1, 1200.0)));
+        let mut actions = harness.pass(5.0);
+        actions.extend(harness.give(request(id, 1, 1200.0)));
         if out.len() > 8 {
             let sent: u64 = out.remove(0);
             count += 1;
             let outcome = if count % 6 < 1 { Outcome::Reset } else { Outcome::Served };
-            actions.extend(hand.give(ended(sent, 0, 40.0, outcome)));
+            actions.extend(harness.give(ended(sent, 0, 40.0, outcome)));
             refused -= i64::from(outcome == Outcome::Reset); // the final answer to the failed request does not count
         }
         refused += refusals(&actions) as i64;
@@ -458,10 +461,10 @@
     let answer_after = |span: Millis| {
         let mut all = Settings { limits: Limits { max_attempts: 1, ..settings(1).limits }, ..settings(1) };
         all.classes[2].effect = Effect::Keyed { group: Group::All, window: 500.0 };
-        let mut hand = Hand::new(all, vec![server(1)]);
-        assert_eq!(sends(&hand.give(request(1, 2, 2000.0))).len(), 1);
-        hand.pass(span);
-        hand.give(ended(1, 0, span, Outcome::Reset))
+        let mut harness = Harness::new(all, vec![server(1)]);
+        assert_eq!(sends(&harness.give(request(1, 2, 2000.0))).len(), 1);
+        harness.pass(span);
+        harness.give(ended(1, 0, span, Outcome::Reset))
     };
     assert!(matches!(answer_after(100.0)[..], [Action::Refuse { .. }]));
     assert!(
@@ -472,18 +475,18 @@
 
 #[test]
 fn a_repeat_carries_the_end_of_its_dedup_window() {
-    let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
-    let first = hand.give(request(1, 2, 2000.0));
+    let mut harness = Harness::new(settings(1), vec![server(1), server(2)]);
+    let first = harness.give(request(1, 2, 2000.0));
     assert!(matches!(first[..], [Action::Send { before: None, .. }]), "{first:?}");
-    let sent = hand.now;
-    hand.pass(50.0);
-    let mut second = hand.give(ended(1, 0, 50.0, Outcome::Reset));
-    second.extend(hand.pass(100.0));
+    let sent = harness.now;
+    harness.pass(50.0);
+    let mut second = harness.give(ended(1, 0, 50.0, Outcome::Reset));
+    second.extend(harness.pass(100.0));
     let Some(Action::Send { before: Some(before), .. }) = second.first() else { panic!("{second:?}") };
     assert_eq!(*before, sent + 2000.0);
     // After an attempt that certainly never ran, the next one is not a repeat.
-    hand.give(request(9, 2, 2000.0));
-    let again = hand.give(ended(9, 0, 1.0, Outcome::ConnectFailed));
+    harness.give(request(9, 2, 2000.0));
+    let again = harness.give(ended(9, 0, 1.0, Outcome::ConnectFailed));
     assert!(!again.iter().any(|a| matches!(a, Action::Send { before: Some(_), .. })), "{again:?}");
 }
 
@@ -491,11 +494,11 @@
 fn on_request_discovery_is_asked_again_soon_however_often_a_call_fails() {
     // Changes count as announced within 6 s: after a silent subscription there is no time for a backoff of seconds.
     let asked = Settings { discovery: Discovery::OnRequest, ..settings(300) };
-    let mut hand = Hand::new(asked, vec![server(1)]);
-    assert!(hand.pass(25.0).contains(&Action::Subscribe));
+    let mut harness = Harness::new(asked, vec![server(1)]);
+    assert!(harness.pass(25.0).contains(&Action::Subscribe));
     for _ in 0..20 {
-        hand.give(Event::List { scope: Scope::Failed, entries: vec![] });
-        assert!(!hand.pass(ASK_AGAIN.0 - 1.0).contains(&Action::Subscribe), "not all at once");
-        assert!(hand.pass(ASK_AGAIN.1 - ASK_AGAIN.0 + 25.0).contains(&Action::Subscribe));
+        harness.give(Event::List { scope: Scope::Failed, entries: vec![] });
+        assert!(!harness.pass(ASK_AGAIN.0 - 1.0).contains(&Action::Subscribe), "not all at once");
+        assert!(harness.pass(ASK_AGAIN.1 - ASK_AGAIN.0 + 25.0).contains(&Action::Subscribe));
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -32,7 +32,7 @@
 /// A fleet of proxies that have already learned the latency of a request.
 struct Fleet {
     cores: f64,
-    hands: Vec<Hand>,
+    harnesses: Vec<Harness>,
     /// Times of the sends to the cold server.
     sent: Vec<Millis>,
     next: u64,
@@ -41,37 +41,43 @@
 
 impl Fleet {
     fn new(proxies: u32, cores: f64) -> Self {
-        let hand = |me| {
+        let harness = |me| {
             let warm = (1..=WARM).map(|id| sized(id, cores)).collect();
-            let mut hand = Hand::seeded(fleet_settings(proxies, me), warm, u64::from(me) + 1);
-            hand.train(0, 80, |_| WORK);
-            hand
+            let mut harness = Harness::seeded(fleet_settings(proxies, me), warm, u64::from(me) + 1);
+            harness.train(0, 80, |_| WORK);
+            harness
         };
-        Fleet { cores, hands: (0..proxies).map(hand).collect(), sent: vec![], next: 1_000_000, out: vec![] }
+        Fleet {
+            cores,
+            harnesses: (0..proxies).map(harness).collect(),
+            sent: vec![],
+            next: 1_000_000,
+            out: vec![],
+        }
     }
 
     /// Announces to the proxies `who` that the cold server started at `born`.
     fn announce(&mut self, born: Millis, who: impl Iterator<Item = usize>) {
         for i in who {
             let cold = Backend { since: Some(born), ..sized(COLD, self.cores) };
-            self.hands[i].give(Event::List { scope: Scope::Delta, entries: vec![cold] });
+            self.harnesses[i].give(Event::List { scope: Scope::Delta, entries: vec![cold] });
         }
     }
 
     /// Restarts a proxy; its first list contains the cold server.
     fn restart(&mut self, i: usize, born: Millis) {
-        let (proxies, now) = (self.hands.len() as u32, self.hands[i].now);
+        let (proxies, now) = (self.harnesses.len() as u32, self.harnesses[i].now);
         let mut all: Vec<Backend> = (1..=WARM).map(|id| sized(id, self.cores)).collect();
         all.push(Backend { since: Some(born), ..sized(COLD, self.cores) });
-        let mut hand = Hand::seeded(fleet_settings(proxies, i as u32), vec![], self.next + i as u64);
-        hand.now = now;
-        hand.give(full(all));
-        self.hands[i] = hand;
+        let mut harness = Harness::seeded(fleet_settings(proxies, i as u32), vec![], self.next + i as u64);
+        harness.now = now;
+        harness.give(full(all));
+        self.harnesses[i] = harness;
         self.out.retain(|o| o.1 != i);
     }
 
     fn record_sends(&mut self, i: usize, actions: &[Action]) {
-        let now = self.hands[i].now;
+        let now = self.harnesses[i].now;
         for (id, to) in sends(actions) {
             if to == COLD {
                 self.sent.push(now);
@@ -85,22 +91,22 @@
         const STEP: Millis = 10.0;
         let steps = (span / STEP) as u64;
         for step in 0..steps {
-            for i in 0..self.hands.len() {
-                let actions = self.hands[i].pass(STEP);
+            for i in 0..self.harnesses.len() {
+                let actions = self.harnesses[i].pass(STEP);
                 self.record_sends(i, &actions);
                 let asked = each * (step + 1) / steps - each * step / steps;
                 for _ in 0..asked {
                     self.next += 1;
-                    let actions = self.hands[i].give(request(self.next, 0, 2000.0));
+                    let actions = self.harnesses[i].give(request(self.next, 0, 2000.0));
                     self.record_sends(i, &actions);
                 }
             }
-            let now = self.hands[0].now;
+            let now = self.harnesses[0].now;
             let (over, still) = std::mem::take(&mut self.out).into_iter().partition(|o| o.0 <= now);
             self.out = still;
             let over: Vec<(Millis, usize, u64)> = over;
             for (_, i, id) in over {
-                let actions = self.hands[i].give(ended(id, 0, WORK, Outcome::Served));
+                let actions = self.harnesses[i].give(ended(id, 0, WORK, Outcome::Served));
                 self.record_sends(i, &actions);
             }
         }
@@ -134,7 +140,7 @@
 /// A quiet period in which budgets could accumulate, then more load at all proxies than the warm servers can take.
 fn surge(proxies: u32, cores: f64, quiet: Millis) -> (Fleet, Millis) {
     let mut fleet = Fleet::new(proxies, cores);
-    let born = fleet.hands[0].now;
+    let born = fleet.harnesses[0].now;
     fleet.announce(born, 0..proxies as usize);
     fleet.run_load(quiet, 0);
     fleet.run_load(400.0, 60.max(3000 / u64::from(proxies)));
@@ -160,7 +166,7 @@
 fn restarted_proxies_bring_no_budget_of_their_own() {
     for proxies in [30, 300] {
         let mut fleet = Fleet::new(proxies, CORES);
-        let born = fleet.hands[0].now;
+        let born = fleet.harnesses[0].now;
         fleet.announce(born, 0..proxies as usize);
         // A tenth of the proxies at a time, all within `fall`, under load.
         for part in 0..10 {
@@ -177,7 +183,7 @@
 fn a_start_announced_at_different_times_is_one_start() {
     for proxies in [30, 300] {
         let mut fleet = Fleet::new(proxies, CORES);
-        let born = fleet.hands[0].now;
+        let born = fleet.harnesses[0].now;
         for part in 0..6 {
             fleet.announce(born, (0..proxies as usize).filter(|i| i % 6 == part));
             fleet.run_load(300.0, 40.max(3000 / u64::from(proxies)));
@@ -190,7 +196,7 @@
 fn a_cold_server_gets_work_from_fleets_of_any_size() {
     for proxies in [1, 30, 300] {
         let mut fleet = Fleet::new(proxies, CORES);
-        let born = fleet.hands[0].now;
+        let born = fleet.harnesses[0].now;
         fleet.announce(born, 0..proxies as usize);
         fleet.run_load(3000.0, 240.max(24_000 / u64::from(proxies)));
         println!("{proxies} proxies: {} in 3 s of load", fleet.sent.len());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -61,21 +61,21 @@
 }
 
 /// A balancer with a manual clock; its timers fire when the test advances the time.
-pub struct Hand {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
     timers: Vec<(Millis, u64)>,
 }
 
-impl Hand {
+impl Harness {
     pub fn new(settings: Settings, servers: Vec<Backend>) -> Self {
-        Hand::seeded(settings, servers, 7)
+        Harness::seeded(settings, servers, 7)
     }
 
     pub fn seeded(settings: Settings, servers: Vec<Backend>, seed: u64) -> Self {
-        let mut hand = Hand { balancer: Balancer::new(settings, seed), now: 1000.0, timers: vec![] };
-        hand.give(full(servers));
-        hand
+        let mut harness = Harness { balancer: Balancer::new(settings, seed), now: 1000.0, timers: vec![] };
+        harness.give(full(servers));
+        harness
     }
 
     /// Delivers an event at the present time; returns the resulting actions except timers.
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -227,13 +227,13 @@
 #[test]
 fn equal_events_give_equal_actions() {
     let run = || {
-        let mut hand = Hand::new(settings(4), (0..9).map(server).collect());
+        let mut harness = Harness::new(settings(4), (0..9).map(server).collect());
         let mut all = vec![];
         for id in 0..200 {
-            all.extend(hand.give(request(id, id as usize % 3, 1500.0)));
-            all.extend(hand.pass(7.0));
+            all.extend(harness.give(request(id, id as usize % 3, 1500.0)));
+            all.extend(harness.pass(7.0));
             if id >= 8 {
-                all.extend(hand.give(ended(id - 8, 0, 56.0, Outcome::Served)));
+                all.extend(harness.give(ended(id - 8, 0, 56.0, Outcome::Served)));
             }
         }
         all
--- a/tests/unrated.rs
+++ b/tests/unrated.rs
@@ -11,10 +11,10 @@
 
 /// Requests that one of `proxies` has in flight at 12 servers when many arrive at once, after answers of 25 ms.
 fn in_flight_at_once(proxies: u32, may_tell: bool, aim: Millis) -> usize {
-    let mut hand = Hand::new(unrated(proxies, may_tell, aim), (1..=12).map(server).collect());
-    hand.train(0, 120, |_| 25.0);
-    hand.pass(2000.0);
-    (5000..5200).flat_map(|id| sends(&hand.give(request(id, 0, 600.0)))).count()
+    let mut harness = Harness::new(unrated(proxies, may_tell, aim), (1..=12).map(server).collect());
+    harness.train(0, 120, |_| 25.0);
+    harness.pass(2000.0);
+    (5000..5200).flat_map(|id| sends(&harness.give(request(id, 0, 600.0)))).count()
 }
 
 #[test]
@@ -33,11 +33,11 @@
 
 #[test]
 fn congestion_lowers_the_estimate_before_anything_is_learned() {
-    let mut hand = Hand::new(unrated(1, false, 300.0), (1..=12).map(server).collect());
-    hand.train(0, 120, |_| 25.0);
-    let before: f64 = hand.balancer.beliefs().map(|b| b.rated).sum();
-    hand.train(1000, 400, |_| 100.0);
-    hand.pass(2000.0);
-    let after: f64 = hand.balancer.beliefs().map(|b| b.rated).sum();
+    let mut harness = Harness::new(unrated(1, false, 300.0), (1..=12).map(server).collect());
+    harness.train(0, 120, |_| 25.0);
+    let before: f64 = harness.balancer.beliefs().map(|b| b.rated).sum();
+    harness.train(1000, 400, |_| 100.0);
+    harness.pass(2000.0);
+    let after: f64 = harness.balancer.beliefs().map(|b| b.rated).sum();
     assert!(after < before / 2.0, "{after} of {before}");
 }
