--- a/crates/sandgap/src/driver.rs
+++ b/crates/sandgap/src/driver.rs
@@ -1,5 +1,5 @@
-//! Runs the core of [`sandgap_driver`] on the process's clock: what the sockets see goes in, in order, and what it
-//! says is done on them.
+//! Runs the sans-IO core of [`sandgap_driver`] on the process's clock: feeds it the socket events in order and
+//! carries out its effects on the sockets.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -28,46 +28,47 @@
 use crate::serving::Serving;
 use crate::view::{self, View};
 
-/// Inputs taken between two looks at the timers; a few microseconds each.
-const BATCH: usize = 32;
-const SWEEP: Duration = Duration::from_secs(1); // between looks at idle connections and at beliefs
+/// Inputs handled between two checks of the timers; each takes a few microseconds.
+const MAX_BATCH: usize = 32;
+/// Interval between checks of idle connections and of the estimated limits.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the driver needs of the other parts.
+/// The components that the driver depends on.
 pub struct Parts {
-    /// Where attempts report.
+    /// The queue to which attempts report.
     pub inbox: Inbox,
-    /// The senders of each protocol.
+    /// The upstream side of each protocol.
     pub backs: Vec<Rc<dyn Back>>,
-    /// The other proxies, if they may be told anything.
+    /// The other proxies, if messages may be sent to them.
     pub peers: Option<Rc<Peers>>,
-    /// Where discovery is at present, if there is one.
+    /// Current address of the discovery service, if there is one.
     pub discovery: Option<watch::Receiver<SocketAddr>>,
-    /// Told when the module wants a watch.
+    /// Notified when the decision library requests a discovery subscription.
     pub watch: Rc<Notify>,
-    /// Told once discovery has told the list.
+    /// Notified once a list of backends is known.
     pub serving: Rc<Serving>,
-    /// Counts and traces what happens.
+    /// Event counters and the trace.
     pub diagnostics: Rc<Diagnostics>,
-    /// How old the view is by which attempts are made.
+    /// Age of the state on which attempts are decided.
     pub view: Rc<View>,
 }
 
-/// What is kept with a request: the form in which it goes on, and whoever waits for its answer.
+/// Per-request state: the request as it is forwarded, and the channel for its answer.
 struct RequestContext {
     exchange: Rc<dyn Exchange>,
     lease: Option<Rc<dyn Lease>>,
     answer: Option<oneshot::Sender<Answer>>,
-    /// How its last attempt ended, if one has.
-    last: Cell<Option<Outcome>>,
+    /// Outcome of the latest attempt that has ended.
+    last_outcome: Cell<Option<Outcome>>,
 }
 
-/// The world of sockets, as the core sees it.
-struct Sockets {
+/// Carries out the core's effects on sockets, peers and discovery.
+struct SocketEffects {
     parts: Parts,
     start: Instant,
 }
 
-impl Effects for Sockets {
+impl Effects for SocketEffects {
     type Held = RequestContext;
     type Reply = Reply;
 
@@ -75,7 +76,7 @@
         let core::Attempt { request, number, endpoint, wanted, until, answer_by, before } = attempt;
         let diagnostics = &self.parts.diagnostics;
         if number > 0 {
-            diagnostics.count(Event::Retry, held.last.get().map_or("none", outcome_name));
+            diagnostics.count(Event::Retry, held.last_outcome.get().map_or("none", outcome_name));
         }
         diagnostics.trace("attempt", || {
             let left = (self.start + until).saturating_duration_since(Instant::now()).as_secs_f64();
@@ -95,16 +96,17 @@
     }
 
     fn answer(&mut self, held: &mut RequestContext, request: RequestId, answer: Answer, cause: Cause) {
-        let word = match &answer {
+        let answer_name = match &answer {
             Answer::Served(_) => "served",
             Answer::Refused(_) => "refused",
             Answer::Failed => "failed",
         };
-        self.parts
-            .diagnostics
-            .trace("answered", || json!({"request": request.0, "answer": word, "cause": cause.name()}));
+        self.parts.diagnostics.trace(
+            "answered",
+            || json!({"request": request.0, "answer": answer_name, "cause": cause.name()}),
+        );
         if let Some(sender) = held.answer.take() {
-            let _ = sender.send(answer); // a client that has just left needs none
+            let _ = sender.send(answer); // fails if the client has just disconnected
         }
     }
 
@@ -113,7 +115,7 @@
     }
 
     fn retire(&mut self, endpoint: &Endpoint) {
-        self.parts.backs.iter().for_each(|b| b.retire(endpoint));
+        self.parts.backs.iter().for_each(|back| back.retire(endpoint));
     }
 
     fn broadcast(&mut self, bytes: Vec<u8>) {
@@ -133,16 +135,16 @@
         }
     }
 
-    fn listed(&mut self, scope: Scope, some: bool) {
+    fn listed(&mut self, scope: Scope, has_entries: bool) {
         match scope {
             Scope::Full => self.parts.serving.listed(),
-            Scope::Cached if some => self.parts.serving.listed(),
+            Scope::Cached if has_entries => self.parts.serving.listed(),
             Scope::Cached | Scope::Delta | Scope::Failed => {}
         }
     }
 
     fn violation(&mut self, violation: Violation, request: RequestId) {
-        note!(error: "a rule would have been broken: {} of request {}", violation.name(), request.0);
+        note!(error: "internal error: a safety rule would have been violated: {} in request {}", violation.name(), request.0);
         self.parts.diagnostics.count(Event::Violation, violation.name());
         let fields = || json!({"request": request.0, "reason": violation.name()});
         self.parts.diagnostics.trace("violation", fields);
@@ -160,29 +162,29 @@
     }
 }
 
-/// Runs the module on what comes in.
+/// Event loop that runs the decision library on incoming events.
 pub struct Driver {
-    core: Core<Balancer, Sockets>,
+    core: Core<Balancer, SocketEffects>,
     start: Instant,
     beliefs: Beliefs,
-    /// Drains by hand over a list from discovery, where rules are agreed.
+    /// Manual drains applied on top of the discovery list, in deployments with agreed rules.
     drains: Option<Drains>,
 }
 
 impl Driver {
-    /// A driver with nothing in it yet. The module's clock starts here.
+    /// Creates a driver without requests. The decision library's clock starts here.
     pub fn new(balancer: Balancer, names: Names, parts: Parts, beliefs: Beliefs) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let start = Instant::now();
-        let core = Core::new(balancer, Sockets { parts, start }, names, unix.as_secs_f64() * 1000.0);
+        let core = Core::new(balancer, SocketEffects { parts, start }, names, unix.as_secs_f64() * 1000.0);
         Driver { core, start, beliefs, drains: None }
     }
 
-    /// Takes inputs and timers for as long as the process runs.
+    /// Handles inputs and timers until the input channel closes.
     pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<Input>) {
-        let mut sweep = Instant::now() + SWEEP;
-        // One timer for all that is due, set anew only when it must fire sooner or has fired: each setting may
-        // cost a system call to wake the runtime that is awake.
+        let mut sweep = Instant::now() + SWEEP_INTERVAL;
+        // A single timer covers everything that is due. It is reset only when it must fire sooner or has fired: each
+        // reset may cost a system call that wakes a runtime which is already awake.
         let timer = sleep_until(sweep);
         tokio::pin!(timer);
         loop {
@@ -206,50 +208,50 @@
             let now = Instant::now();
             self.core.effects.parts.view.renew(now);
             if now >= sweep {
-                self.core.effects.parts.backs.iter().for_each(|b| b.sweep());
+                self.core.effects.parts.backs.iter().for_each(|back| back.sweep());
                 let believed = self.core.decider().beliefs();
                 let counts = self.core.effects.parts.diagnostics.counts();
                 self.beliefs.look(now.into_std(), believed, &counts, |b| self.core.address(b));
-                sweep = now + SWEEP;
+                sweep = now + SWEEP_INTERVAL;
             }
         }
     }
 
-    /// Takes an input and what else has come in meanwhile, but no more than leaves timers on time.
+    /// Handles an input and those queued behind it, up to a bound that keeps timers on time.
     fn take_batch(&mut self, input: Option<Input>, inputs: &mut mpsc::UnboundedReceiver<Input>) {
-        input.into_iter().for_each(|input| self.take(input));
-        for _ in 0..BATCH {
+        input.into_iter().for_each(|input| self.handle(input));
+        for _ in 0..MAX_BATCH {
             let Ok(input) = inputs.try_recv() else { break };
-            self.take(input);
+            self.handle(input);
         }
     }
 
-    /// After a standstill takes in all that has come before anything is decided by the clock, news of backends first. What
-    /// is to be sent meanwhile begins only after that: attempts are tasks of their own, and this doesn't wait for any.
+    /// After a standstill, handles all queued inputs before any timer, updates of backends first. Attempts started
+    /// meanwhile begin to send only after that: they are separate tasks, and this function doesn't wait for them.
     async fn catch_up(
         &mut self, span: Duration, input: Option<Input>, inputs: &mut mpsc::UnboundedReceiver<Input>,
     ) {
-        self.note_standstill(span);
+        self.report_standstill(span);
         view::settle().await;
         let mut backlog: Vec<Input> = input.into_iter().collect();
         while let Ok(input) = inputs.try_recv() {
             backlog.push(input);
         }
-        let (news, others): (Vec<Input>, Vec<Input>) =
-            backlog.into_iter().partition(Input::is_news_of_backends);
-        news.into_iter().chain(others).for_each(|input| self.take(input));
+        let (backend_updates, others): (Vec<Input>, Vec<Input>) =
+            backlog.into_iter().partition(Input::is_backend_update);
+        backend_updates.into_iter().chain(others).for_each(|input| self.handle(input));
     }
 
-    fn note_standstill(&self, span: Duration) {
+    fn report_standstill(&self, span: Duration) {
         note!(warn: "the process stood still for {} ms", span.as_millis());
         let diagnostics = &self.core.effects.parts.diagnostics;
         diagnostics.count(Event::Standstill, standstill_name(span));
         diagnostics.trace("standstill", || json!({"ms": span.as_millis() as u64}));
     }
 
-    /// What is under way, after all that was put in before this was asked.
-    fn look(&self, look: StatusQuery) {
-        let StatusQuery { at, measured, cohort, answer } = look;
+    /// Answers a status query; all inputs queued before it have been handled.
+    fn answer_status(&self, query: StatusQuery) {
+        let StatusQuery { at, measured, cohort, answer } = query;
         let id = |name: &str| BackendId(number_of(name));
         let sights = at.iter().map(|name| (name.clone(), self.core.held_at(id(name)))).collect();
         let believed: FxHashMap<BackendId, f64> = match measured.is_empty() {
@@ -262,17 +264,17 @@
         };
         let holds = measured.into_iter().filter_map(holds).collect();
         let held = self.core.held_at_all();
-        let of = |(a, f): (u64, u64), (all, failed): (u64, u64)| (a + all, f + failed);
-        let new = cohort.iter().map(|name| self.core.ended_at(id(name))).fold((0, 0), of);
-        let ended = [new, self.core.ended_at_all()];
-        let _ = answer.send(StatusReply { sights, held, holds, ended }); // whoever asked may have ended
+        let add = |(a, f): (u64, u64), (all, failed): (u64, u64)| (a + all, f + failed);
+        let cohort_ended = cohort.iter().map(|name| self.core.ended_at(id(name))).fold((0, 0), add);
+        let ended = [cohort_ended, self.core.ended_at_all()];
+        let _ = answer.send(StatusReply { sights, held, holds, ended }); // fails if the asking task has ended
     }
 
     fn now(&self) -> Time {
         self.start.elapsed()
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let now = self.now();
         match input {
             Input::Request(arrival) => {
@@ -290,7 +292,8 @@
                     answer,
                 } = *arrival;
                 let deadline = deadline.saturating_duration_since(self.start);
-                let held = RequestContext { exchange, lease, answer: Some(answer), last: Cell::new(None) };
+                let held =
+                    RequestContext { exchange, lease, answer: Some(answer), last_outcome: Cell::new(None) };
                 let arrival = core::Arrival { id, class, effect, tenant, key, hint, deadline, upload, held };
                 self.core.request(now, arrival);
             }
@@ -311,7 +314,7 @@
                     json!({"request": request.0, "attempt": attempt, "outcome": outcome, "took_ms": latency})
                 });
                 if let Some(held) = self.core.context(request) {
-                    held.last.set(Some(outcome));
+                    held.last_outcome.set(Some(outcome));
                 }
                 self.core.ended(now, request, attempt, latency, outcome, reply);
             }
@@ -331,21 +334,21 @@
             }
             Input::Remembered(hosts) => {
                 if !self.core.effects.parts.serving.has_list() {
-                    note!(warn: "discovery is silent: the list of the process before is served from");
-                    self.take(Input::List(Scope::Cached, hosts));
+                    note!(warn: "discovery does not answer; serving from the list of the previous process");
+                    self.handle(Input::List(Scope::Cached, hosts));
                 }
             }
             Input::Drains(names) => {
                 let lines = self.drains.get_or_insert_default().change(names);
                 self.core.list(now, Scope::Delta, lines);
             }
-            Input::StatusQuery(look) => self.look(*look),
+            Input::StatusQuery(query) => self.answer_status(*query),
             Input::Datagram { from, bytes } => self.core.message(now, from, bytes),
         }
     }
 }
 
-/// A standstill's word for logs and counters: the least promise that it can break.
+/// Name of a standstill's length for logs and counters, by the strictest time limit that it can break.
 fn standstill_name(span: Duration) -> &'static str {
     match span.as_millis() {
         ..100 => "under_100_ms",
@@ -354,7 +357,7 @@
     }
 }
 
-/// An outcome's word for logs and counters.
+/// Name of an outcome for logs and counters.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
--- a/crates/sandgap/src/event.rs
+++ b/crates/sandgap/src/event.rs
@@ -1,6 +1,6 @@
-//! The words that the parts of the daemon exchange. They name no protocol: beside what the module must know,
-//! a request is an [`Exchange`] that its own front made and only its own back reads, so that fronts of several
-//! protocols can feed one driver and obey one module.
+//! Types that the components of the daemon exchange. They are independent of the protocol: apart from what the
+//! decision library must know, a request is an [`Exchange`] that is made and read only by code of its own protocol, so
+//! that front ends of several protocols can share one driver and one decision library.
 
 use std::any::Any;
 use std::cell::Cell;
@@ -13,57 +13,57 @@
 use tokio::time::Instant;
 use wharfhitch::{ClassId, Effect, Key, Millis, Outcome, RequestId, Scope, TenantId};
 
-/// What happens outside the module.
+/// An event handled by the driver.
 pub enum Input {
-    /// A whole request has been read.
+    /// A request has been read, except for the rest of a long body.
     Request(Box<Arrival>),
-    /// Its client has left.
+    /// The client of a request has disconnected.
     Gone(RequestId),
-    /// This process ends: all that it has taken has its answer by then.
+    /// The process shuts down: every accepted request is answered by this time.
     End(Instant),
-    /// The last byte of a long request came from its client.
+    /// The last byte of a long request arrived from its client.
     Received(RequestId, Instant),
-    /// A long request has gone out whole.
+    /// A long request has been sent completely.
     Uploaded(RequestId),
-    /// A long answer has begun.
+    /// A long answer has started.
     Started {
         /// The request.
         request: RequestId,
-        /// Its attempt, counted from 0.
+        /// Attempt number, from 0.
         attempt: u32,
-        /// What there is of the answer, and the rest as it comes.
+        /// The first part of the answer and the stream of the rest.
         reply: Reply,
     },
     /// An attempt has ended.
     Ended {
         /// The request.
         request: RequestId,
-        /// Its attempt, counted from 0.
+        /// Attempt number, from 0.
         attempt: u32,
-        /// Time since the send.
+        /// Time since the request was sent.
         latency: Millis,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The answer, where it was served.
+        /// The answer, if the outcome is `Served`.
         reply: Option<Reply>,
     },
     /// The settings have changed.
     Change(Box<wharfhitch::Change>),
-    /// Discovery has shown that it has nothing new to tell.
+    /// Discovery has confirmed that nothing has changed.
     DiscoveryAlive,
-    /// News of the list, newer than all before.
+    /// An update of the backend list, newer than all before.
     List(Scope, Vec<Host>),
-    /// News of the list that may be older than what is known.
+    /// An update of the backend list that may be older than the known state.
     UncertainList(Scope, Vec<Host>),
-    /// The list as a process before this one had it: for as long as discovery has told none.
+    /// The list of the previous process, used until discovery has delivered one.
     Remembered(Vec<Host>),
-    /// Backends that are drained by hand, whatever the list says of them.
+    /// Backends that are drained by hand, regardless of their state in the list.
     Drains(BTreeSet<String>),
-    /// Somebody asks what is under way.
+    /// A query for the attempts in flight.
     StatusQuery(Box<StatusQuery>),
-    /// Another proxy's message.
+    /// A message from another proxy.
     Datagram {
-        /// Its number.
+        /// Number of the sending proxy.
         from: u32,
         /// At most 256 bytes.
         bytes: Vec<u8>,
@@ -71,165 +71,166 @@
 }
 
 impl Input {
-    /// Whether it tells which backends take work: it depends on no other input.
-    pub fn is_news_of_backends(&self) -> bool {
+    /// Whether it updates which backends accept requests. Such an input depends on no other.
+    pub fn is_backend_update(&self) -> bool {
         matches!(self, Input::DiscoveryAlive | Input::List(..) | Input::UncertainList(..) | Input::Drains(_))
     }
 }
 
-/// A question about what is under way. Its answer is of a moment after all that was put in before it.
+/// A query for the attempts in flight. Its reply reflects all inputs queued before it.
 pub struct StatusQuery {
-    /// Backends of which the attempts are told.
+    /// Backends whose attempts in flight are reported.
     pub at: Vec<String>,
-    /// Backends of which it is told what they are believed to hold.
+    /// Backends whose estimated concurrency limit is reported.
     pub measured: Vec<String>,
-    /// Backends of which the attempts that have ended are told together.
+    /// Backends whose ended attempts are reported as one sum.
     pub cohort: Vec<String>,
-    /// Who asks.
+    /// Channel for the reply.
     pub answer: oneshot::Sender<StatusReply>,
 }
 
-/// Its answer.
+/// The reply to a [`StatusQuery`].
 pub struct StatusReply {
-    /// Attempts at backends that have not come to their end.
+    /// Attempts in flight at the requested backends.
     pub sights: Vec<(String, u32)>,
-    /// The same at all backends.
+    /// Attempts in flight at all backends.
     pub held: u32,
-    /// What backends are believed to hold, in thousandths of requests.
+    /// Estimated concurrency limits, in thousandths of requests.
     pub holds: Vec<(String, u64)>,
-    /// Attempts that were served or failed, and those that failed: at the cohort, and at all.
+    /// Pairs of ended attempts (served or failed) and failed attempts: first of the cohort, then of all backends.
     pub ended: [(u64, u64); 2],
 }
 
-/// A client's request: what the module has to know, and the rest behind `exchange`.
+/// A client's request: what the decision library has to know, and the protocol's part in `exchange`.
 pub struct Arrival {
-    /// Its number, never used twice.
+    /// Number of the request, never reused.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Whether it may run again.
+    /// Whether the request may run more than once.
     pub effect: Effect,
-    /// Its tenant, where requests have one.
+    /// Tenant, if tenants are configured.
     pub tenant: Option<TenantId>,
-    /// What it concerns.
+    /// Key of the object that the request is about.
     pub key: Option<Key>,
-    /// Its expected work.
+    /// Expected work.
     pub hint: Option<Millis>,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Instant,
-    /// Of one that may go out while it still comes in: how long the client waits from its last byte.
+    /// For a long request, which may be forwarded while it is received: how long the client waits after its last byte.
     pub upload: Option<Duration>,
-    /// What goes to backends.
+    /// The request as it is forwarded.
     pub exchange: Rc<dyn Exchange>,
-    /// Asked before each attempt and at its first byte, where rules are agreed and the class wants it.
+    /// Checked before each attempt and at its first byte, if rules are agreed and the class requires a lease.
     pub lease: Option<Rc<dyn Lease>>,
-    /// Takes the one final answer.
+    /// Channel for the single final answer.
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// A right that may end at any moment by the clock alone.
+/// A permission to send that may expire at any time by the clock alone.
 pub trait Lease {
-    /// Whether something may go out under it now.
+    /// Whether a request may be sent under it now.
     fn holds(&self) -> bool;
 }
 
-/// A request in the form in which its protocol sends it on. It lives until its answer is given and its last
-/// attempt has ended.
+/// A request in the form in which its protocol forwards it. It lives until its answer is given and its last attempt
+/// has ended.
 pub trait Exchange {
-    /// Begins one attempt. It must write nothing once `attempt` says that it is not wanted, and never sends
-    /// twice; the report tells how it ended, whatever happens.
+    /// Starts one attempt. It must write nothing once `attempt.wanted` is cleared, and it never sends twice. The
+    /// attempt's report gives its outcome in every case.
     fn attempt(self: Rc<Self>, attempt: Attempt);
 
-    /// Whether it can't be sent again, as a part of it has gone out and is kept nowhere.
+    /// Whether it can't be sent again because a part of it has been sent and was not kept.
     fn is_spent(&self) -> bool {
         false
     }
 }
 
-/// One attempt: where to, until when, and who is told.
+/// One attempt: its target, its time limits and its report.
 pub struct Attempt {
-    /// Where it goes.
+    /// The backend to send to.
     pub endpoint: Rc<Endpoint>,
-    /// Cleared once the request has its answer.
+    /// Cleared once the request has been answered.
     pub wanted: Rc<Cell<bool>>,
     /// See [`Arrival::lease`].
     pub lease: Option<Rc<dyn Lease>>,
-    /// When it is given up.
+    /// When the attempt times out.
     pub until: Instant,
-    /// When the client's answer has to be on its way whole, unless it is a long one.
+    /// Time by which the client's answer must be completely sent, unless it is a long one.
     pub answer_by: AnswerBy,
-    /// Nothing of it may be written from then on, if it may be a repeat.
+    /// For an attempt that may be a duplicate: from this time on nothing of it may be written.
     pub before: Option<Instant>,
-    /// Tells how it ended.
+    /// Reports how the attempt ended.
     pub report: Report,
 }
 
-/// The time by which a client's answer has to be on its way. It moves when a long request has gone out and when the
-/// process ends.
+/// The time by which a client's answer must be sent. It changes when a long request has been sent completely and
+/// when the process shuts down.
 pub struct AnswerBy {
-    /// The clock's zero.
+    /// Zero of the driver's clock.
     pub start: Instant,
-    /// Counted from there.
+    /// Time after `start`.
     pub after: Rc<Cell<Duration>>,
 }
 
 impl AnswerBy {
-    /// As it is set at present.
+    /// The current value.
     pub fn instant(&self) -> Instant {
         self.start + self.after.get()
     }
 }
 
-/// A backend's whole answer, for the front of the same protocol.
+/// A backend's answer, for the front end of the same protocol.
 pub type Reply = Box<dyn Any>;
 
-/// The one final answer.
+/// The single final answer to a request.
 pub type Answer = sandgap_driver::Answer<Reply>;
 
-/// What the driver asks of the senders of a protocol.
+/// The operations that the driver needs from the upstream side of a protocol.
 pub trait Back {
-    /// An endpoint takes nothing new any more: what is pooled for it goes at once.
+    /// Closes the pooled connections of an endpoint that accepts no new requests.
     fn retire(&self, endpoint: &Endpoint);
-    /// A look at what has stood idle, about once a second.
+    /// Closes expired idle connections; called about once a second.
     fn sweep(&self);
 }
 
-/// Tells how an attempt ended, exactly once: an attempt that dies on the way may have run.
+/// Reports the outcome of an attempt exactly once. An attempt dropped without an outcome is reported as reset, since
+/// it may have run.
 pub struct Report {
     inbox: Inbox,
     request: RequestId,
     attempt: u32,
     sent: Instant,
-    /// Time from the request's last byte to the answer's first, of a long one.
+    /// For a long answer, the time from the request's last byte to the answer's first.
     latency: Option<Millis>,
-    told: bool,
-    /// Until its end it is under way at its backend.
+    is_sent: bool,
+    /// Counts the attempt as in flight at its backend until it ends.
     holding: Holding,
 }
 
 impl Report {
-    /// A report on an attempt that begins now.
+    /// Creates the report of an attempt that starts now.
     pub fn new(inbox: Inbox, request: RequestId, attempt: u32, holding: Holding) -> Self {
-        Report { inbox, request, attempt, sent: Instant::now(), latency: None, told: false, holding }
+        Report { inbox, request, attempt, sent: Instant::now(), latency: None, is_sent: false, holding }
     }
 
-    /// The request's number.
+    /// Number of the request.
     pub fn request(&self) -> RequestId {
         self.request
     }
 
-    /// When the attempt began.
+    /// When the attempt started or, for a long request, when its last byte was sent.
     pub fn sent(&self) -> Instant {
         self.sent
     }
 
-    /// Tells that a long request has gone out whole: its backend's time counts from here.
+    /// Reports that a long request has been sent completely: the backend's latency counts from here.
     pub fn uploaded(&mut self) {
         self.sent = Instant::now();
         self.inbox.put(Input::Uploaded(self.request));
     }
 
-    /// Tells that a long answer has begun.
+    /// Reports that a long answer has started.
     pub fn started(&mut self, reply: Reply) {
         self.latency = Some(self.elapsed());
         let (request, attempt) = (self.request, self.attempt);
@@ -240,19 +241,19 @@
         self.sent.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Tells the end.
-    pub fn tell(mut self, outcome: Outcome, reply: Option<Reply>) {
-        self.put(outcome, reply);
+    /// Reports the outcome.
+    pub fn finish(mut self, outcome: Outcome, reply: Option<Reply>) {
+        self.send(outcome, reply);
     }
 
-    fn put(&mut self, outcome: Outcome, reply: Option<Reply>) {
-        self.told = true;
+    fn send(&mut self, outcome: Outcome, reply: Option<Reply>) {
+        self.is_sent = true;
         match outcome {
             Outcome::Served => self.holding.ended(true),
             Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
                 self.holding.ended(false);
             }
-            // Nothing that a backend did well or badly.
+            // These outcomes say nothing about the backend's health.
             Outcome::Full | Outcome::Cancelled | Outcome::NotSent => {}
         }
         let latency = self.latency.unwrap_or_else(|| self.elapsed());
@@ -263,26 +264,26 @@
 
 impl Drop for Report {
     fn drop(&mut self) {
-        if !self.told {
-            self.put(Outcome::Reset, None);
+        if !self.is_sent {
+            self.send(Outcome::Reset, None);
         }
     }
 }
 
-/// Where all parts put what they have seen.
+/// Sending end of the driver's input queue.
 #[derive(Clone)]
 pub struct Inbox(mpsc::UnboundedSender<Input>);
 
 impl Inbox {
-    /// An inbox and the end that the driver reads. Its length is bounded by the budget of sockets: each
+    /// Creates the queue and the receiver for the driver. The queue's length is bounded by the socket budget: each
     /// connection holds one request, and each request a few attempts.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Inbox(sender), receiver)
     }
 
-    /// Puts in what has been seen.
+    /// Queues an input.
     pub fn put(&self, input: Input) {
-        let _ = self.0.send(input); // fails only while the process ends
+        let _ = self.0.send(input); // fails only during shutdown
     }
 }
--- a/crates/sandgap/src/front/admission.rs
+++ b/crates/sandgap/src/front/admission.rs
@@ -1,4 +1,4 @@
-//! Admission and eviction: how many connections are let in, and which give way to others.
+//! Admission and eviction of connections: how many are accepted, and which are closed when sockets run short.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -14,144 +14,147 @@
 
 use super::Frontend;
 use super::closing::CloseReason;
-use super::limits::{AHEAD, BACKENDS, IDLE_MOST, NEXT, SPARED, WHOLE};
+use super::limits::{
+    BACKEND_FREE_DIVISOR, BACKEND_RESERVE_DIVISOR, HEAD_TIMEOUT, MAX_IDLE, MAX_READ_AHEAD, MIN_STAGE_AGE,
+};
 use crate::body::Upload;
 use crate::socket::Socket;
 use crate::view::View;
 
-/// How far a connection has come. The order is the one in which connections give way to others.
+/// Stage of a connection. The order of the variants is the order of eviction.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Stage {
-    /// Refused; only what it still sends is waited for.
+    /// Refused; remaining input is being discarded.
     Refused,
-    /// It has sent nothing yet.
+    /// Nothing has been received yet.
     Silent,
     /// Between requests.
     Idle,
-    /// A part of a head has come.
-    Begun,
-    /// A request is open. These give way to nobody.
+    /// A part of a request head has been received.
+    ReadingHead,
+    /// A request is open. Such connections are never evicted.
     Busy,
 }
 
-/// What is known of a connection.
+/// State of a client's connection.
 pub(super) struct Client {
-    /// Never used twice in a process.
+    /// Connection number, never reused within a process.
     pub(super) number: u64,
     pub(super) stage: Cell<Stage>,
-    /// Its place among those of its stage, oldest first.
-    pub(super) ticket: Cell<u64>,
-    /// When the stage began.
+    /// Orders the connections of a stage, oldest first.
+    pub(super) sequence: Cell<u64>,
+    /// When the current stage was entered.
     pub(super) since: Cell<Instant>,
-    /// When its next request has to be whole.
-    pub(super) due: Cell<Instant>,
+    /// Deadline for the complete head of the next request.
+    pub(super) head_deadline: Cell<Instant>,
     pub(super) accepted: Instant,
-    /// The earliest time at which it may have come, until its first request has been read.
-    pub(super) queued: Cell<Option<Instant>>,
-    /// It has ended its sending.
-    pub(super) ended: Cell<bool>,
-    /// Its request has been read whole.
-    pub(super) whole: Cell<bool>,
-    /// Of the answer on its way only the connection's end tells where it ends.
-    pub(super) unframed: Cell<bool>,
-    /// Its request has been read, but for the rest of a long one, and its answer is awaited.
-    waits: Cell<bool>,
-    /// That rest.
-    upload: RefCell<Option<Rc<Upload>>>,
-    /// What it has sent behind that request, not yet read by the parser.
-    pub(super) ahead: RefCell<Vec<u8>>,
-    /// When the last of that came.
-    pub(super) ahead_came: Cell<Instant>,
-    /// When the last bytes came that the parser has: no request that it finds in them is younger.
-    pub(super) heard: Cell<Instant>,
-    /// More was sent ahead than is kept.
-    pub(super) flooded: Cell<bool>,
-    /// Why it was asked to close last.
+    /// Earliest time at which the connection may have entered the accept queue; cleared by its first request.
+    pub(super) queued_since: Cell<Option<Instant>>,
+    /// The client has closed its sending side.
+    pub(super) is_read_closed: Cell<bool>,
+    /// The current request has been read completely.
+    pub(super) is_request_read: Cell<bool>,
+    /// The answer being sent is delimited only by the close of the connection.
+    pub(super) is_close_delimited: Cell<bool>,
+    /// The request has been read, except for the rest of a long body, and awaits its answer.
+    awaits_answer: Cell<bool>,
+    /// The rest of that long body.
+    pending_upload: RefCell<Option<Rc<Upload>>>,
+    /// Bytes received after that request, not yet passed to the parser.
+    pub(super) read_ahead_bytes: RefCell<Vec<u8>>,
+    /// When the last of these bytes arrived.
+    pub(super) read_ahead_at: Cell<Instant>,
+    /// When the last bytes passed to the parser arrived: a request found in them is at least as old.
+    pub(super) last_read: Cell<Instant>,
+    /// More was received after a request than is kept.
+    pub(super) read_ahead_overflowed: Cell<bool>,
+    /// Reason of the latest request to close.
     pub(super) close_reason: Cell<CloseReason>,
     pub(super) close: Notify,
-    /// What has come of a head, until it has been read.
+    /// The bytes of the current head, until its request has been handled.
     pub(super) head: RefCell<Vec<u8>>,
 }
 
 impl Client {
-    /// A connection that has just been accepted; it may have come at `queued` already.
-    pub(super) fn new(number: u64, queued: Instant) -> Rc<Self> {
+    /// Creates the state of an accepted connection, which may have been in the accept queue since `queued_since`.
+    pub(super) fn new(number: u64, queued_since: Instant) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Client {
             number,
             stage: Cell::new(Stage::Busy),
-            ticket: Cell::new(0),
+            sequence: Cell::new(0),
             since: Cell::new(now),
-            due: Cell::new(now + WHOLE),
+            head_deadline: Cell::new(now + HEAD_TIMEOUT),
             accepted: now,
-            queued: Cell::new(Some(queued)),
-            ended: Cell::new(false),
-            whole: Cell::new(false),
-            unframed: Cell::new(false),
-            waits: Cell::new(false),
-            upload: RefCell::default(),
-            ahead: RefCell::default(),
-            ahead_came: Cell::new(now),
-            heard: Cell::new(now),
-            flooded: Cell::new(false),
+            queued_since: Cell::new(Some(queued_since)),
+            is_read_closed: Cell::new(false),
+            is_request_read: Cell::new(false),
+            is_close_delimited: Cell::new(false),
+            awaits_answer: Cell::new(false),
+            pending_upload: RefCell::default(),
+            read_ahead_bytes: RefCell::default(),
+            read_ahead_at: Cell::new(now),
+            last_read: Cell::new(now),
+            read_ahead_overflowed: Cell::new(false),
             close_reason: Cell::new(CloseReason::TimeUp),
             close: Notify::new(),
             head: RefCell::default(),
         })
     }
 
-    /// Asks it to close; see [`super::closing`].
+    /// Requests that the connection closes; see [`super::closing`].
     fn ask_to_close(&self, reason: CloseReason) {
         self.close_reason.set(reason);
         self.close.notify_one();
     }
 
-    /// Waits until the client has gone while its answer is awaited.
+    /// Waits until the client disconnects while its answer is awaited.
     pub(super) async fn disconnected(&self, stream: &Socket, view: &View) {
-        let mut closing = None;
-        poll_fn(|cx| self.poll_disconnected(stream, view, &mut closing, cx)).await;
+        let mut peer_closed = None;
+        poll_fn(|cx| self.poll_disconnected(stream, view, &mut peer_closed, cx)).await;
     }
 
-    /// The parser sees by itself that a client has gone only for as long as nothing unread stands behind the request.
-    /// What may be read ahead of it is read here: within a budget the rest of a long body, too. The system tells of an
-    /// end behind what then stays unread, if it has room for that.
+    /// The parser notices a disconnect only while no unread bytes follow the request. This function therefore reads
+    /// ahead: bytes after the request and, within a budget, the rest of a long body. For a disconnect behind bytes that
+    /// stay unread it relies on the system, which reports it if the bytes fit its buffer.
     fn poll_disconnected<'a>(
-        &self, stream: &'a Socket, view: &View, closing: &mut Option<Closing<'a>>, cx: &mut Context,
+        &self, stream: &'a Socket, view: &View, peer_closed: &mut Option<PeerClosed<'a>>, cx: &mut Context,
     ) -> Poll<()> {
-        let mut bytes = [MaybeUninit::uninit(); AHEAD]; // not cleared: this is polled with each step of a connection
-        while self.waits.get() {
+        // Uninitialized, as this runs at every poll of the connection.
+        let mut bytes = [MaybeUninit::uninit(); MAX_READ_AHEAD];
+        while self.awaits_answer.get() {
             if self.is_upload_unread(cx) {
-                let closing = closing.get_or_insert_with(|| Box::pin(stream.peer_closed()));
-                std::task::ready!(closing.as_mut().poll(cx));
-                self.ended.set(true);
+                let peer_closed = peer_closed.get_or_insert_with(|| Box::pin(stream.peer_closed()));
+                std::task::ready!(peer_closed.as_mut().poll(cx));
+                self.is_read_closed.set(true);
                 return Poll::Ready(());
             }
             let mut buf = ReadBuf::uninit(&mut bytes);
-            let came = std::task::ready!(stream.poll_read(cx, &mut buf)).is_ok();
-            if !came || buf.filled().is_empty() {
-                self.ended.set(true);
+            let is_ok = std::task::ready!(stream.poll_read(cx, &mut buf)).is_ok();
+            if !is_ok || buf.filled().is_empty() {
+                self.is_read_closed.set(true);
                 return Poll::Ready(());
             }
-            let mut ahead = self.ahead.borrow_mut();
-            let kept = buf.filled().len().min(AHEAD - ahead.len());
+            let mut ahead = self.read_ahead_bytes.borrow_mut();
+            let kept = buf.filled().len().min(MAX_READ_AHEAD - ahead.len());
             ahead.extend_from_slice(&buf.filled()[..kept]);
-            self.ahead_came.set(view.arrived_at());
-            self.flooded.set(self.flooded.get() || kept < buf.filled().len());
+            self.read_ahead_at.set(view.arrived_at());
+            self.read_ahead_overflowed.set(self.read_ahead_overflowed.get() || kept < buf.filled().len());
         }
         Poll::Pending
     }
 
-    /// Reads ahead what may be of a long request, and tells whether more of it has still to come.
+    /// Reads ahead in a long request within its budget, and returns whether more of it is to come.
     fn is_upload_unread(&self, cx: &mut Context) -> bool {
-        let upload = self.upload.borrow();
+        let upload = self.pending_upload.borrow();
         let Some(upload) = upload.as_ref() else { return false };
         upload.poll_read_ahead(cx);
         !upload.is_read()
     }
 
-    /// Whether the head in hand tells a body's form once: by its chunks, and by no length. A head that came along
-    /// with the request before is not at hand, and tells nothing.
-    pub(super) fn is_plainly_chunked(&self) -> bool {
+    /// Whether the buffered head has exactly one Transfer-Encoding and no Content-Length header. Returns false for a
+    /// head that arrived together with the previous request, as it is not in the buffer.
+    pub(super) fn has_chunked_framing_only(&self) -> bool {
         let head = self.head.borrow();
         let Some(end) = head.windows(4).position(|w| w == b"\r\n\r\n") else { return false };
         let lines = head[..end].split(|b| *b == b'\n');
@@ -162,26 +165,26 @@
     }
 }
 
-/// Ends when the system has told that the other side has closed.
-type Closing<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
+/// Completes when the system reports that the peer has closed.
+type PeerClosed<'a> = Pin<Box<dyn Future<Output = ()> + 'a>>;
 
-/// A client's answer is awaited for as long as this lives.
-pub(super) struct Awaited<'a>(&'a Client);
+/// Guard: the client awaits its answer while this exists.
+pub(super) struct AwaitingAnswer<'a>(&'a Client);
 
-impl<'a> Awaited<'a> {
-    /// The request has been read, but for the rest of a long one.
+impl<'a> AwaitingAnswer<'a> {
+    /// Marks the request as read, except for the rest of a long body.
     pub(super) fn new(client: &'a Client, upload: Option<&Rc<Upload>>) -> Self {
-        client.waits.set(true);
-        client.upload.replace(upload.cloned());
-        Awaited(client)
+        client.awaits_answer.set(true);
+        client.pending_upload.replace(upload.cloned());
+        AwaitingAnswer(client)
     }
 }
 
-impl Drop for Awaited<'_> {
+impl Drop for AwaitingAnswer<'_> {
     fn drop(&mut self) {
-        self.0.waits.set(false);
-        let upload = self.0.upload.take();
-        self.0.whole.set(upload.is_none_or(|u| u.is_read()));
+        self.0.awaits_answer.set(false);
+        let upload = self.0.pending_upload.take();
+        self.0.is_request_read.set(upload.is_none_or(|u| u.is_read()));
     }
 }
 
@@ -194,47 +197,51 @@
 impl Drop for BusyUntilDropped {
     fn drop(&mut self) {
         if self.client.stage.get() == Stage::Busy {
-            self.front.turn(&self.client, Stage::Idle);
+            self.front.set_stage(&self.client, Stage::Idle);
         }
     }
 }
 
 impl Frontend {
-    /// Connections that are let in: what backends leave of the budget, less a little for what they need next. They are
-    /// left a part in any case: clients that stay may fill the rest before the first request goes out.
-    pub(super) fn most(&self) -> usize {
+    /// Maximum number of client connections: the budget less the sockets of backends and a reserve for their next ones.
+    /// A minimum is always reserved for backends, since idle clients could otherwise take every socket before the first
+    /// request is forwarded.
+    pub(super) fn max_connections(&self) -> usize {
         let budget = self.budget.get();
-        (budget - budget / NEXT).saturating_sub(self.upstreams.in_use().max(budget / BACKENDS))
+        (budget - budget / BACKEND_FREE_DIVISOR)
+            .saturating_sub(self.upstreams.in_use().max(budget / BACKEND_RESERVE_DIVISOR))
     }
 
-    /// Moves a connection to another stage.
-    pub(super) fn turn(&self, client: &Rc<Client>, stage: Stage) {
-        let mut standing = self.standing.borrow_mut();
-        match standing.get_mut(client.stage.get() as usize) {
-            Some(old) => drop(old.remove(&client.ticket.get())),
+    /// Moves a connection to another stage and restarts the time in it.
+    pub(super) fn set_stage(&self, client: &Rc<Client>, stage: Stage) {
+        let mut stages = self.by_stage.borrow_mut();
+        match stages.get_mut(client.stage.get() as usize) {
+            Some(old) => drop(old.remove(&client.sequence.get())),
             None => self.busy.set(self.busy.get() - 1),
         }
-        client.ticket.set(self.number());
+        client.sequence.set(self.next_number());
         client.stage.set(stage);
         client.since.set(Instant::now());
-        match standing.get_mut(stage as usize) {
-            Some(new) => drop(new.insert(client.ticket.get(), client.clone())),
+        match stages.get_mut(stage as usize) {
+            Some(new) => drop(new.insert(client.sequence.get(), client.clone())),
             None => self.busy.set(self.busy.get() + 1),
         }
     }
 
-    /// Keeps a connection from giving way until what is returned is dropped.
+    /// Prevents the eviction of a connection until the returned guard is dropped.
     pub(super) fn busy_until_dropped(self: &Rc<Self>, client: &Rc<Client>) -> BusyUntilDropped {
         BusyUntilDropped { front: self.clone(), client: client.clone() }
     }
 
-    /// Asks the one that is the first to give way to close, if any has stood long enough; it is asked once. With
-    /// `late`, those that have sent nothing are not spared: who comes is at least as likely to.
-    pub(super) fn make_room(&self, late: bool) -> bool {
-        let mut standing = self.standing.borrow_mut();
-        for (stage, (all, spared)) in standing.iter_mut().zip(SPARED).enumerate() {
-            let spared = if late && stage <= Stage::Silent as usize { Duration::ZERO } else { spared };
-            let oldest = all.first_entry().filter(|e| e.get().since.get().elapsed() >= spared);
+    /// Evicts the first connection in eviction order that has been in its stage for the minimum time; each connection is
+    /// asked once. With `is_overdue`, connections that have sent nothing have no minimum time: a new connection is at
+    /// least as likely to send a request. Returns whether a connection was evicted.
+    pub(super) fn make_room(&self, is_overdue: bool) -> bool {
+        let mut stages = self.by_stage.borrow_mut();
+        for (stage, (all, min_age)) in stages.iter_mut().zip(MIN_STAGE_AGE).enumerate() {
+            let min_age =
+                if is_overdue && stage <= Stage::Silent as usize { Duration::ZERO } else { min_age };
+            let oldest = all.first_entry().filter(|e| e.get().since.get().elapsed() >= min_age);
             if let Some(oldest) = oldest {
                 oldest.remove().ask_to_close(CloseReason::Evicted);
                 return true;
@@ -243,33 +250,36 @@
         false
     }
 
+    /// Asks all connections in a stage to close, as clients are sent away.
     pub(super) fn close_all(&self, stage: Stage) {
-        let standing = self.standing.borrow();
-        standing[stage as usize].values().for_each(|c| c.ask_to_close(CloseReason::SentAway));
+        let stages = self.by_stage.borrow();
+        stages[stage as usize].values().for_each(|c| c.ask_to_close(CloseReason::SentAway));
     }
 
-    /// Closes the connections whose time is up.
+    /// Asks connections to close whose head deadline or maximum idle time has passed.
     pub(super) fn sweep(&self) {
         let now = Instant::now();
-        let standing = self.standing.borrow();
-        let unheard = [Stage::Silent, Stage::Begun];
-        let unheard =
-            unheard.iter().flat_map(|s| standing[*s as usize].values()).filter(|c| c.due.get() <= now);
-        let idle = standing[Stage::Idle as usize].values();
-        let idle = idle.take_while(|c| now - c.since.get() >= IDLE_MOST);
-        unheard.for_each(|c| c.ask_to_close(CloseReason::TimeUp));
+        let stages = self.by_stage.borrow();
+        let incomplete = [Stage::Silent, Stage::ReadingHead];
+        let incomplete = incomplete
+            .iter()
+            .flat_map(|s| stages[*s as usize].values())
+            .filter(|c| c.head_deadline.get() <= now);
+        let idle = stages[Stage::Idle as usize].values();
+        let idle = idle.take_while(|c| now - c.since.get() >= MAX_IDLE);
+        incomplete.for_each(|c| c.ask_to_close(CloseReason::TimeUp));
         idle.for_each(|c| c.ask_to_close(CloseReason::IdleTooLong));
-        drop(standing);
+        drop(stages);
         self.close_idle();
     }
 
-    /// Connections that hold a request, or may: a part of a head, or bytes that nobody has read yet.
+    /// Number of connections that have a request or may have one: a part of a head, or bytes not read yet.
     pub(super) fn unfinished(&self) -> usize {
-        let standing = self.standing.borrow();
-        self.busy.get() + standing[Stage::Silent as usize].len() + standing[Stage::Begun as usize].len()
+        let stages = self.by_stage.borrow();
+        self.busy.get() + stages[Stage::Silent as usize].len() + stages[Stage::ReadingHead as usize].len()
     }
 
-    /// Where clients are sent away, nobody stays between requests.
+    /// Asks idle connections to close if clients are being sent away.
     pub(super) fn close_idle(&self) {
         if self.serving.sends_away() {
             self.close_all(Stage::Idle);
--- a/crates/sandgap/src/front/answer.rs
+++ b/crates/sandgap/src/front/answer.rs
@@ -1,4 +1,4 @@
-//! Answering: one request, one final answer.
+//! Handles a request from its head to its single final answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,78 +13,79 @@
 use wharfhitch::RequestId;
 
 use super::Frontend;
-use super::admission::{Awaited, Client};
-use super::head::{Asked, OpenId, target};
-use super::receive::{receive, told};
+use super::admission::{AwaitingAnswer, Client};
+use super::head::{OpenId, ParsedHead, target};
+use super::receive::{error_response, receive};
 use crate::body::{self, Answering, Trouble, Upload};
 use crate::event::{Answer, Arrival, Inbox, Input};
 use crate::upstream::{Forwarded, Outgoing, Payload, Reply, strip};
 
 impl Frontend {
-    /// Answers a request whose head came at `came`.
+    /// Answers a request whose head arrived at `arrived`.
     pub(super) async fn respond(
-        self: &Rc<Self>, request: Request<Incoming>, came: Instant, client: &Rc<Client>,
+        self: &Rc<Self>, request: Request<Incoming>, arrived: Instant, client: &Rc<Client>,
     ) -> Response<Answering> {
         if request.uri().path() == "/up" {
             let up = self.serving.is_up();
             return plain(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
         }
         let (head, body) = request.into_parts();
-        let asked = match self.check(&head.method, &head.uri, &head.headers) {
-            Ok(asked) => asked,
+        let parsed = match self.check(&head.method, &head.uri, &head.headers) {
+            Ok(parsed) => parsed,
             Err((status, text)) => return plain(status, text),
         };
-        let taken = match asked.taken.transpose() {
+        let taken = match parsed.taken.transpose() {
             Ok(taken) => taken,
             Err(wait) => return refused(Some(wait.as_secs_f64() * 1000.0)),
         };
-        // Its length lies or hides a second request where both are told, and hyper shows only one of them.
-        if head.headers.contains_key(header::TRANSFER_ENCODING) && !client.is_plainly_chunked() {
+        // With both Transfer-Encoding and Content-Length the length is ambiguous and may hide a second request (request
+        // smuggling), and hyper shows only one of the headers.
+        if head.headers.contains_key(header::TRANSFER_ENCODING) && !client.has_chunked_framing_only() {
             return plain(StatusCode::LENGTH_REQUIRED, "the length must be told once");
         }
         if body.size_hint().lower() > body::LONGEST {
             return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
         }
-        let Some(open) = OpenId::take(&self.ids, &asked.id) else {
+        let Some(open) = OpenId::take(&self.ids, &parsed.id) else {
             return plain(StatusCode::CONFLICT, "a request with this id is open");
         };
         let received = match receive(body, &self.read_ahead, self.upstreams.view()).await {
             Ok(received) => received,
             Err(trouble) => {
-                let (status, text) = told(trouble);
+                let (status, text) = error_response(trouble);
                 return plain(status, text);
             }
         };
-        // A client counts from its last byte.
-        let came = if received.late { client.heard.get() } else { came };
-        let deadline = came + asked.patience;
+        // The client's timeout counts from its last byte.
+        let arrived = if received.has_waited { client.last_read.get() } else { arrived };
+        let deadline = arrived + parsed.patience;
         let body = received.body;
         let upload = match &body {
             Payload::Long(upload) => Some(upload.clone()),
             Payload::Short(_) => None,
         };
         if let Some(upload) = upload.as_ref().filter(|u| u.is_read()) {
-            upload.set_received(came);
+            upload.set_received(arrived);
         }
         if upload.is_some() && self.uploading.get() >= self.uploads {
             return plain(StatusCode::SERVICE_UNAVAILABLE, "too many long requests");
         }
-        let uploading = upload.as_ref().map(|_| Counted::new(self, |f| &f.uploading));
+        let uploading = upload.as_ref().map(|_| CountGuard::new(self, |f| &f.uploading));
         let mut headers = head.headers;
         strip(&mut headers);
         let lease = taken.and_then(|taken| {
-            // Whatever a client says of the version: the proxy tells it, or nobody does.
+            // Overwrites a version header from the client: only the proxy sets it.
             if let Some((name, version)) = taken.header {
                 headers.insert(name, version);
             }
             taken.lease
         });
-        let id = RequestId(self.number());
+        let id = RequestId(self.next_number());
         let (answer, answered) = oneshot::channel();
-        let Asked { class, effect, tenant, key, hint, generation, patience, .. } = asked;
+        let ParsedHead { class, effect, tenant, key, hint, generation, patience, .. } = parsed;
         self.diagnostics.trace("asked", || {
             let left = deadline.saturating_duration_since(Instant::now()).as_secs_f64();
-            json!({"request": id.0, "id": &*asked.id, "connection": client.number, "left_s": left})
+            json!({"request": id.0, "id": &*parsed.id, "connection": client.number, "left_s": left})
         });
         let message = Outgoing { method: head.method, uri: target(&head.uri), headers, body, patience };
         self.inbox.put(Input::Request(Box::new(Arrival {
@@ -108,35 +109,38 @@
             let inbox = self.inbox.clone();
             upload.on_received(move |at| inbox.put(Input::Received(id, at)));
         }
-        // Hyper drops this future when the client leaves.
-        let mut leaves = Leaves { inbox: &self.inbox, id, waits: true };
-        let awaited = Awaited::new(client, upload.as_ref());
+        // Hyper drops this future when the client disconnects.
+        let mut disconnect_guard = DisconnectGuard { inbox: &self.inbox, id, is_waiting: true };
+        let awaiting = AwaitingAnswer::new(client, upload.as_ref());
         let answer = tokio::select! {
             biased;
             answer = answered => answer,
             () = stopped(upload.as_deref()) => {
-                let (status, text) = told(Trouble::TooSlow);
-                return plain(status, text); // the driver hears that nobody waits any more
+                let (status, text) = error_response(Trouble::TooSlow);
+                return plain(status, text); // the guard reports the disconnect to the driver
             }
         };
-        drop(awaited);
-        leaves.waits = false;
+        drop(awaiting);
+        disconnect_guard.is_waiting = false;
         if let (Some(trouble), Ok(Answer::Refused(_) | Answer::Failed)) =
             (upload.and_then(|u| u.trouble()), &answer)
         {
-            let (status, text) = told(trouble);
+            let (status, text) = error_response(trouble);
             return plain(status, text);
         }
         match answer {
             Ok(Answer::Served(reply)) => {
                 let Ok(reply) = reply.downcast::<Reply>() else {
-                    return plain(StatusCode::BAD_GATEWAY, "failed"); // no HTTP back made it
+                    return plain(StatusCode::BAD_GATEWAY, "failed"); // the reply is not of an HTTP backend
                 };
                 let body = match reply.body {
-                    // Its connection is busy until it has ended.
+                    // The connection stays busy until the answer has been sent.
                     Answering::Long(stream, _) => {
-                        let counted = Counted::new(self, |f| &f.answering);
-                        Answering::Long(stream, Some(Box::new((self.busy_until_dropped(client), counted))))
+                        let count_guard = CountGuard::new(self, |f| &f.answering);
+                        Answering::Long(
+                            stream,
+                            Some(Box::new((self.busy_until_dropped(client), count_guard))),
+                        )
                     }
                     short => short,
                 };
@@ -144,13 +148,13 @@
                 *response.headers_mut() = reply.headers;
                 response
             }
-            Ok(Answer::Refused(after)) => refused(after),
+            Ok(Answer::Refused(retry_after_ms)) => refused(retry_after_ms),
             Ok(Answer::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
         }
     }
 }
 
-/// Waits until the client of a long request has stopped in its middle; for ever for others.
+/// Waits until the client of a long request has stopped sending; never returns for other requests.
 async fn stopped(upload: Option<&Upload>) {
     match upload {
         Some(upload) => upload.stopped().await,
@@ -158,56 +162,56 @@
     }
 }
 
-/// Told to come again, after so many ms if that is known.
-fn refused(after: Option<f64>) -> Response<Answering> {
+/// A refusal, with `Retry-After` if the delay in ms is known.
+fn refused(retry_after_ms: Option<f64>) -> Response<Answering> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "try again");
-    if let Some(after) = after.and_then(|ms| format!("{:.3}", ms / 1000.0).parse().ok()) {
-        response.headers_mut().insert(header::RETRY_AFTER, after);
+    if let Some(retry_after) = retry_after_ms.and_then(|ms| format!("{:.3}", ms / 1000.0).parse().ok()) {
+        response.headers_mut().insert(header::RETRY_AFTER, retry_after);
     }
     response
 }
 
-/// One more of something, for as long as it lives.
-struct Counted {
+/// Guard that adds one to a counter while it exists.
+struct CountGuard {
     front: Rc<Frontend>,
     count: fn(&Frontend) -> &Cell<usize>,
 }
 
-impl Counted {
+impl CountGuard {
     fn new(front: &Rc<Frontend>, count: fn(&Frontend) -> &Cell<usize>) -> Self {
         count(front).set(count(front).get() + 1);
-        Counted { front: front.clone(), count }
+        CountGuard { front: front.clone(), count }
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         let count = (self.count)(&self.front);
         count.set(count.get() - 1);
-        self.front.left.notify_waiters();
+        self.front.released.notify_waiters();
     }
 }
 
-/// Tells the driver when the client leaves before its answer.
-struct Leaves<'a> {
+/// Reports to the driver that the client disconnected, if dropped before the answer.
+struct DisconnectGuard<'a> {
     inbox: &'a Inbox,
     id: RequestId,
-    waits: bool,
+    is_waiting: bool,
 }
 
-impl Drop for Leaves<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if self.waits {
+        if self.is_waiting {
             self.inbox.put(Input::Gone(self.id));
         }
     }
 }
 
-/// Why a client is not given a backend's answer; kept with the answer for the counters.
+/// Why a client gets no backend's answer; attached to the response for the counters.
 #[derive(Clone, Copy)]
 pub(super) struct Reason(pub(super) &'static str);
 
-/// An answer of the proxy's own.
+/// A response generated by the proxy.
 pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<Answering> {
     let mut response = Response::new(Bytes::from_static(text.as_bytes()).into());
     *response.status_mut() = status;
--- a/crates/sandgap/src/front/closing.rs
+++ b/crates/sandgap/src/front/closing.rs
@@ -1,22 +1,22 @@
-//! Whether a client's connection may be closed now. No I/O: the facts go in, what is to be done comes out.
+//! Decides whether a client's connection may be closed now. Performs no I/O.
 
 use super::admission::Stage;
 
 /// Why a connection is asked to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// It gives way to others, as sockets run short.
+    /// Evicted because sockets run short.
     Evicted,
-    /// What it has begun has not come whole in its time, or nothing has come at all.
+    /// Its head was not complete in time, or nothing was received at all.
     TimeUp,
-    /// It has stood between requests for long.
+    /// It was idle for too long.
     IdleTooLong,
-    /// The process sends its clients away.
+    /// The process is draining or stopping and sends its clients away.
     SentAway,
 }
 
 impl CloseReason {
-    /// A word for logs and counters.
+    /// Name for logs and counters.
     pub(super) fn name(self) -> &'static str {
         match self {
             CloseReason::Evicted => "evicted",
@@ -27,31 +27,31 @@
     }
 }
 
-/// What is to be done with a connection that is asked to close.
+/// What to do with a connection that is asked to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Closing {
-    /// It closes.
+pub(super) enum CloseAction {
+    /// Close it.
     Now,
-    /// The system holds bytes that have not been read: they are read first.
+    /// The system holds unread bytes: read them first.
     ReadFirst,
-    /// It has begun a request since it was asked, and has its whole time for that.
+    /// Keep it: it has started a request since it was asked, and has the full time for that.
     Keep,
-    /// It takes nothing more, and closes once what it has taken is answered.
+    /// Accept no further request, and close once the accepted ones are answered.
     AfterAnswer,
 }
 
-/// Decides by how far a connection has come. `is_quiet` asks the system whether nothing stands unread.
+/// Decides by the stage of a connection. `is_quiet` asks the system whether there are no unread bytes.
 ///
-/// What has sent nothing closes only while nothing stands unread: a request on a new connection has been taken once its
-/// last byte has come, read or not. Half a head has its whole time; past it, or to make room for others, it closes once
-/// nothing more of it is there.
-pub(super) fn decide(stage: Stage, reason: CloseReason, is_quiet: impl Fn() -> bool) -> Closing {
+/// A connection that has sent nothing closes only while there are no unread bytes: a request on a new connection counts
+/// as accepted once its last byte has arrived, read or not. A partial head has its full time; after that, or to make room
+/// for others, its connection closes once no more bytes of it are there.
+pub(super) fn decide(stage: Stage, reason: CloseReason, is_quiet: impl Fn() -> bool) -> CloseAction {
     match (stage, reason) {
-        (Stage::Refused, _) => Closing::Now,
-        (Stage::Begun, CloseReason::IdleTooLong | CloseReason::SentAway) => Closing::Keep,
-        (Stage::Silent | Stage::Begun, _) if is_quiet() => Closing::Now,
-        (Stage::Silent | Stage::Begun, _) => Closing::ReadFirst,
-        (Stage::Idle | Stage::Busy, _) => Closing::AfterAnswer,
+        (Stage::Refused, _) => CloseAction::Now,
+        (Stage::ReadingHead, CloseReason::IdleTooLong | CloseReason::SentAway) => CloseAction::Keep,
+        (Stage::Silent | Stage::ReadingHead, _) if is_quiet() => CloseAction::Now,
+        (Stage::Silent | Stage::ReadingHead, _) => CloseAction::ReadFirst,
+        (Stage::Idle | Stage::Busy, _) => CloseAction::AfterAnswer,
     }
 }
 
@@ -60,21 +60,35 @@
     use super::*;
 
     #[test]
-    fn nothing_that_has_come_is_closed_over_unread() {
+    fn no_connection_is_closed_over_unread_bytes() {
         let all =
             [CloseReason::Evicted, CloseReason::TimeUp, CloseReason::IdleTooLong, CloseReason::SentAway];
         for reason in all {
-            assert_eq!(decide(Stage::Silent, reason, || false), Closing::ReadFirst);
-            assert_eq!(decide(Stage::Silent, reason, || true), Closing::Now);
-            assert_eq!(decide(Stage::Idle, reason, || panic!("asked by the parser")), Closing::AfterAnswer);
-            assert_eq!(decide(Stage::Busy, reason, || panic!("it has been taken")), Closing::AfterAnswer);
+            assert_eq!(decide(Stage::Silent, reason, || false), CloseAction::ReadFirst);
+            assert_eq!(decide(Stage::Silent, reason, || true), CloseAction::Now);
+            assert_eq!(
+                decide(Stage::Idle, reason, || panic!("the parser checks for unread bytes")),
+                CloseAction::AfterAnswer
+            );
+            assert_eq!(
+                decide(Stage::Busy, reason, || panic!("the request was accepted")),
+                CloseAction::AfterAnswer
+            );
         }
         for reason in [CloseReason::IdleTooLong, CloseReason::SentAway] {
-            assert_eq!(decide(Stage::Begun, reason, || true), Closing::Keep, "a head may still come whole");
+            assert_eq!(
+                decide(Stage::ReadingHead, reason, || true),
+                CloseAction::Keep,
+                "the head may still be completed"
+            );
         }
         for reason in [CloseReason::TimeUp, CloseReason::Evicted] {
-            assert_eq!(decide(Stage::Begun, reason, || false), Closing::ReadFirst, "the rest may have come");
-            assert_eq!(decide(Stage::Begun, reason, || true), Closing::Now);
+            assert_eq!(
+                decide(Stage::ReadingHead, reason, || false),
+                CloseAction::ReadFirst,
+                "the rest may have arrived"
+            );
+            assert_eq!(decide(Stage::ReadingHead, reason, || true), CloseAction::Now);
         }
     }
 }
--- a/crates/sandgap/src/front/connection.rs
+++ b/crates/sandgap/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, from its accept to its end.
+//! Serves one client connection, from accept to close.
 
 use std::convert::Infallible;
 use std::io;
@@ -19,116 +19,121 @@
 use super::Frontend;
 use super::admission::{Client, Stage};
 use super::answer::{Reason, plain};
-use super::closing::{self, Closing};
-use super::limits::{BUSY, CUT, GRACE, HEAD_SIZE, LINGER, READER, WHOLE};
+use super::closing::{self, CloseAction};
+use super::limits::{
+    CLOSE_CHECK_INTERVAL, FIRST_BYTE_GRACE, HEAD_TIMEOUT, LINGER, MAX_BUSY_PART, MAX_HEAD_BYTES,
+    READER_TIMEOUT,
+};
 use crate::body::Answering;
 use crate::diagnostics::Event;
 use crate::socket::Socket;
 
 impl Frontend {
-    /// Serves a connection to its end.
+    /// Serves a connection until it closes and records why.
     pub(super) async fn connection(self: &Rc<Self>, stream: Socket, client: &Rc<Client>) {
         let reason = self.serve_connection(stream, client).await;
         self.diagnostics.count(Event::Close, reason);
         self.diagnostics.trace("closed", || json!({"connection": client.number, "reason": reason}));
     }
 
-    /// Serves a connection and tells why it has ended.
+    /// Serves a connection and returns why it has closed.
     async fn serve_connection(self: &Rc<Self>, stream: Socket, client: &Rc<Client>) -> &'static str {
         let service = service_fn(|request| {
             let (front, client, stream) = (self.clone(), client.clone(), stream.clone());
             async move {
                 if client.stage.get() == Stage::Idle {
-                    client.due.set(Instant::now() + WHOLE); // its head came along with the request before
+                    client.head_deadline.set(Instant::now() + HEAD_TIMEOUT); // its head arrived together with the previous request
                 }
-                client.whole.set(false);
-                let old = request.version() == Version::HTTP_10;
-                // A request that came while its connection was waiting to be accepted is as old as that.
-                let queued = client.queued.take().filter(|_| client.accepted.elapsed() < GRACE);
-                let came = queued.unwrap_or_else(|| client.heard.get());
-                front.turn(&client, Stage::Busy);
-                let over = front.busy.get() > front.budget.get() / BUSY.1 * BUSY.0;
-                let mut response = if over {
+                client.is_request_read.set(false);
+                let is_http10 = request.version() == Version::HTTP_10;
+                // A request that arrived while its connection was in the accept queue counts from then.
+                let queued =
+                    client.queued_since.take().filter(|_| client.accepted.elapsed() < FIRST_BYTE_GRACE);
+                let arrived = queued.unwrap_or_else(|| client.last_read.get());
+                front.set_stage(&client, Stage::Busy);
+                let is_over_limit = front.busy.get() > front.budget.get() / MAX_BUSY_PART.1 * MAX_BUSY_PART.0;
+                let mut response = if is_over_limit {
                     plain(StatusCode::SERVICE_UNAVAILABLE, "too many connections")
                 } else {
-                    front.respond(request, came, &client).await
+                    front.respond(request, arrived, &client).await
                 };
                 client.head.borrow_mut().clear();
                 if let Some(Reason(reason)) = response.extensions().get() {
                     front.diagnostics.count(Event::Refusal, reason);
                 }
-                let long = matches!(response.body(), Answering::Long(..));
-                let told = response.body().size_hint().exact().is_some();
-                client.unframed.set(old && long && !told);
-                if long {
-                    stream.wait_for_reader(READER);
+                let is_long = matches!(response.body(), Answering::Long(..));
+                let has_length = response.body().size_hint().exact().is_some();
+                client.is_close_delimited.set(is_http10 && is_long && !has_length);
+                if is_long {
+                    stream.wait_for_reader(READER_TIMEOUT);
                 }
-                // Where one request was wrong, nobody knows where the next one would begin.
-                let spoilt = client.flooded.get() || response.status().is_client_error();
-                if over || spoilt || front.serving.sends_away() {
+                // After a malformed request the start of the next one is unknown.
+                let is_out_of_sync =
+                    client.read_ahead_overflowed.get() || response.status().is_client_error();
+                if is_over_limit || is_out_of_sync || front.serving.sends_away() {
                     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
-                } else if !long {
-                    front.turn(&client, Stage::Idle);
+                } else if !is_long {
+                    front.set_stage(&client, Stage::Idle);
                 }
                 Ok::<_, Infallible>(response)
             }
         });
-        let io = Heard { stream: stream.clone(), client: client.clone(), front: self.clone() };
+        let io = ClientStream { stream: stream.clone(), client: client.clone(), front: self.clone() };
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(HEAD_SIZE)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(io), service);
         let disconnected = client.disconnected(&stream, self.upstreams.view());
         tokio::pin!(connection, disconnected);
-        let mut cut = None;
+        let mut cut_at = None;
         let mut closed_idle = None;
         let outcome = loop {
-            let wait = cut.unwrap_or_else(Instant::now);
+            let cut_time = cut_at.unwrap_or_else(Instant::now);
             tokio::select! {
-                biased; // what has come in counts before a wish to close
+                biased; // received data takes precedence over a request to close
                 outcome = connection.as_mut() => break outcome,
-                () = &mut disconnected => return "client_left", // and its request goes with it
+                () = &mut disconnected => return "client_left", // dropping the service future cancels its request
                 () = client.close.notified() => {
                     let (stage, reason) = (client.stage.get(), client.close_reason.get());
                     match closing::decide(stage, reason, || stream.is_quiet()) {
-                        Closing::Now => return reason.name(),
-                        // A later look closes the rest.
-                        Closing::ReadFirst => {
-                            self.turn(client, stage);
+                        CloseAction::Now => return reason.name(),
+                        // It is asked to close again after the next sweep.
+                        CloseAction::ReadFirst => {
+                            self.set_stage(client, stage);
                             continue;
                         }
-                        Closing::Keep => continue,
-                        Closing::AfterAnswer => {}
+                        CloseAction::Keep => continue,
+                        CloseAction::AfterAnswer => {}
                     }
                     if stage == Stage::Idle {
-                        closed_idle = Some(client.ticket.get());
+                        closed_idle = Some(client.sequence.get());
                     }
                     connection.as_mut().graceful_shutdown();
-                    cut = cut.or(Some(Instant::now() + CUT));
+                    cut_at = cut_at.or(Some(Instant::now() + CLOSE_CHECK_INTERVAL));
                 }
-                // An answer that nobody reads would hold its socket for ever.
-                () = sleep_until(wait), if cut.is_some() => {
+                // An answer that the client doesn't read would hold its socket forever.
+                () = sleep_until(cut_time), if cut_at.is_some() => {
                     if client.stage.get() != Stage::Busy {
                         return "nothing_moved";
                     }
-                    cut = Some(Instant::now() + CUT);
+                    cut_at = Some(Instant::now() + CLOSE_CHECK_INTERVAL);
                 }
             }
         };
-        // Of an answer that only the connection's end delimits, a reset alone tells that it is not whole.
-        if outcome.is_err() && client.unframed.get() {
+        // For a close-delimited answer only a reset shows the client that it is incomplete.
+        if outcome.is_err() && client.is_close_delimited.get() {
             stream.reset_at_close();
             return "answer_cut";
         }
-        // A request that crosses the close of an idle connection must not be read and dropped: only a reset tells the
-        // client that nobody has taken it.
-        if closed_idle == Some(client.ticket.get()) {
+        // A request that crosses the close of an idle connection must not be read and dropped: only a reset shows the
+        // client that it was not accepted.
+        if closed_idle == Some(client.sequence.get()) {
             return client.close_reason.get().name();
         }
-        // Malformed HTTP has been answered by hyper; a client that left needs nothing.
-        if !client.ended.get() {
-            self.turn(client, Stage::Refused);
+        // Hyper has answered malformed HTTP. A client that has closed its side needs no lingering close.
+        if !client.is_read_closed.get() {
+            self.set_stage(client, Stage::Refused);
             tokio::select! {
                 _ = timeout(LINGER.0, linger(&stream, client)) => {}
                 () = client.close.notified() => {}
@@ -138,47 +143,47 @@
     }
 }
 
-/// A client's socket. It notes when a request begins, and when the client has ended its sending.
-struct Heard {
+/// A client's socket as hyper sees it. Records when a request starts and when the client closes its sending side.
+struct ClientStream {
     stream: Socket,
     client: Rc<Client>,
     front: Rc<Frontend>,
 }
 
-impl AsyncRead for Heard {
+impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let mut ahead = self.client.ahead.borrow_mut();
+        let mut ahead = self.client.read_ahead_bytes.borrow_mut();
         if ahead.is_empty() {
             std::task::ready!(self.stream.poll_read(cx, buf))?;
-            self.client.heard.set(self.front.upstreams.view().arrived_at());
+            self.client.last_read.set(self.front.upstreams.view().arrived_at());
         } else {
-            let now = ahead.len().min(buf.remaining());
-            buf.put_slice(&ahead[..now]);
-            ahead.drain(..now);
-            self.client.heard.set(self.client.ahead_came.get());
+            let count = ahead.len().min(buf.remaining());
+            buf.put_slice(&ahead[..count]);
+            ahead.drain(..count);
+            self.client.last_read.set(self.client.read_ahead_at.get());
         }
         drop(ahead);
         if buf.filled().len() == before {
-            self.client.ended.set(true);
+            self.client.is_read_closed.set(true);
         }
         let stage = self.client.stage.get();
-        if matches!(stage, Stage::Silent | Stage::Idle | Stage::Begun) {
+        if matches!(stage, Stage::Silent | Stage::Idle | Stage::ReadingHead) {
             let mut head = self.client.head.borrow_mut();
-            let room = HEAD_SIZE.saturating_sub(head.len());
+            let room = MAX_HEAD_BYTES.saturating_sub(head.len());
             head.extend_from_slice(&buf.filled()[before..][..room.min(buf.filled().len() - before)]);
         }
         if matches!(stage, Stage::Silent | Stage::Idle) {
             if stage == Stage::Idle {
-                self.client.due.set(Instant::now() + WHOLE);
+                self.client.head_deadline.set(Instant::now() + HEAD_TIMEOUT);
             }
-            self.front.turn(&self.client, Stage::Begun);
+            self.front.set_stage(&self.client, Stage::ReadingHead);
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Heard {
+impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.stream.poll_write(cx, bytes)
     }
@@ -192,17 +197,17 @@
     }
 }
 
-/// Ends the sending and waits until the client ends its own, within bounds. What it still sends of a request that was
-/// not read whole is read and dropped, as a close over it would reset the connection before the answer has been read.
-/// But behind a request that was read whole stands the answer, and what comes then is a request that crosses the close:
-/// it stays unread, so that the close resets it and its client knows that nobody has taken it.
+/// Closes the sending side and waits, within limits, until the client closes its own. If the request was not read
+/// completely, the rest is read and dropped, as a close over unread bytes would reset the connection before the client
+/// has read the answer. If it was, any further bytes are a request that crosses the close: they stay unread, so that
+/// the close resets the connection and the client knows that the request was not accepted.
 async fn linger(stream: &Socket, client: &Client) {
     if stream.end_sending().is_err() {
         return;
     }
-    let spoilt = client.flooded.get() || !client.ahead.borrow().is_empty();
-    if client.whole.get() && !spoilt {
-        stream.heard().await;
+    let is_out_of_sync = client.read_ahead_overflowed.get() || !client.read_ahead_bytes.borrow().is_empty();
+    if client.is_request_read.get() && !is_out_of_sync {
+        stream.readable().await;
     } else {
         stream.drain(LINGER.1).await;
     }
--- a/crates/sandgap/src/front/head.rs
+++ b/crates/sandgap/src/front/head.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a head: what the module has to know, and what can't be right.
+//! Parses and validates request heads.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,16 +14,17 @@
 use crate::generation::Generation;
 use crate::rules::Taken;
 
-/// The ids of open requests. A second request under one of them could be taken for the first.
+/// Ids of open requests. A second request with the same id could be mistaken for the first.
 pub(super) type OpenIds = Rc<RefCell<FxHashSet<Rc<str>>>>;
 
-/// Holds an id until the request and its attempts have ended.
+/// Reserves an id until the request and its attempts have ended.
 pub(super) struct OpenId {
     ids: OpenIds,
     id: Rc<str>,
 }
 
 impl OpenId {
+    /// Reserves an id; `None` if a request with it is open.
     pub(super) fn take(ids: &OpenIds, id: &str) -> Option<Self> {
         let id: Rc<str> = id.into();
         ids.borrow_mut().insert(id.clone()).then(|| OpenId { ids: ids.clone(), id })
@@ -36,8 +37,8 @@
     }
 }
 
-/// What a request's head says.
-pub(super) struct Asked {
+/// The validated head of a request.
+pub(super) struct ParsedHead {
     pub(super) id: String,
     pub(super) class: ClassId,
     pub(super) effect: Effect,
@@ -46,50 +47,60 @@
     pub(super) hint: Option<f64>,
     pub(super) patience: Duration,
     pub(super) generation: Rc<Generation>,
-    /// Where rules are agreed: whether it may be taken now, or how long its client should wait.
+    /// If rules are agreed: whether the request may be accepted now, or how long its client should wait.
     pub(super) taken: Option<Result<Taken, Duration>>,
 }
 
 impl Frontend {
-    /// Reads what the module has to know; what can't be right goes no further.
+    /// Parses and validates a head; on failure returns the status and text of the refusal.
     pub(super) fn check(
         &self, method: &Method, uri: &Uri, headers: &HeaderMap,
-    ) -> Result<Asked, (StatusCode, &'static str)> {
+    ) -> Result<ParsedHead, (StatusCode, &'static str)> {
         let bad = |text| (StatusCode::BAD_REQUEST, text);
         let name = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
         let generation = self.generations.borrow().current().clone();
         let (class, rules) = generation.class(name).ok_or((StatusCode::NOT_FOUND, "no such class"))?;
-        let wanted = if rules.effect == Effect::Safe { Method::GET } else { Method::POST };
-        if *method != wanted {
+        let expected_method = if rules.effect == Effect::Safe { Method::GET } else { Method::POST };
+        if *method != expected_method {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class"));
         }
-        let known = Known::read(headers)?;
+        let protocol_headers = ProtocolHeaders::read(headers)?;
         let keyed = matches!(rules.effect, Effect::Keyed { .. });
-        if keyed != known.key.is_some() && *method == Method::POST {
+        if keyed != protocol_headers.key.is_some() && *method == Method::POST {
             return Err(bad("Idempotency-Key does not fit the class"));
         }
-        let id = known.id.filter(|id| !id.is_empty());
+        let id = protocol_headers.id.filter(|id| !id.is_empty());
         let id = id.ok_or(bad("X-Request-ID is missing"))?.to_owned();
-        let tenant = match known.tenant {
+        let tenant = match protocol_headers.tenant {
             _ if !generation.has_tenants() => None,
             Some(name) => Some(generation.tenant(name).ok_or(bad("no such tenant"))?),
             None => return Err(bad("X-Tenant-Id is missing")),
         };
-        let patience = number(known.timeout)?.ok_or(bad("X-Timeout is missing"))?;
+        let patience = number(protocol_headers.timeout)?.ok_or(bad("X-Timeout is missing"))?;
         let patience = Duration::from_secs_f64(patience.min(rules.deadline / 1000.0));
         let query = uri.query().unwrap_or_default();
         let sid = query.split('&').find_map(|p| p.strip_prefix("sid="));
-        let hint = number(known.cost)?.map(|us| us / 1000.0);
+        let hint = number(protocol_headers.cost)?.map(|us| us / 1000.0);
         let key = sid.map(|s| Key(number_of(s)));
         let taken = self.rules.get().map(|rules| rules.take(name));
         let effect = rules.effect;
-        Ok(Asked { id, class, effect, tenant, key, hint, patience, generation: generation.clone(), taken })
+        Ok(ParsedHead {
+            id,
+            class,
+            effect,
+            tenant,
+            key,
+            hint,
+            patience,
+            generation: generation.clone(),
+            taken,
+        })
     }
 }
 
-/// The headers that the protocol gives a meaning, each of which may stand once.
+/// The headers defined by the protocol, each of which may occur once.
 #[derive(Default)]
-struct Known<'a> {
+struct ProtocolHeaders<'a> {
     id: Option<&'a str>,
     key: Option<&'a str>,
     tenant: Option<&'a str>,
@@ -97,37 +108,37 @@
     cost: Option<&'a str>,
 }
 
-impl<'a> Known<'a> {
-    /// Finds them in one pass, without hashing a name for each.
+impl<'a> ProtocolHeaders<'a> {
+    /// Collects them in one pass, without a hash lookup per header.
     fn read(headers: &'a HeaderMap) -> Result<Self, (StatusCode, &'static str)> {
         let bad = (StatusCode::BAD_REQUEST, "a header is malformed or stands twice");
-        let mut known = Known::default();
+        let mut protocol_headers = ProtocolHeaders::default();
         for (name, value) in headers {
-            let place = match name.as_str() {
-                "x-request-id" => &mut known.id,
-                "idempotency-key" => &mut known.key,
-                "x-tenant-id" => &mut known.tenant,
-                "x-timeout" => &mut known.timeout,
-                "x-cost" => &mut known.cost,
+            let slot = match name.as_str() {
+                "x-request-id" => &mut protocol_headers.id,
+                "idempotency-key" => &mut protocol_headers.key,
+                "x-tenant-id" => &mut protocol_headers.tenant,
+                "x-timeout" => &mut protocol_headers.timeout,
+                "x-cost" => &mut protocol_headers.cost,
                 _ => continue,
             };
             let value = value.to_str().map_err(|_| bad)?;
-            if place.replace(value).is_some() {
+            if slot.replace(value).is_some() {
                 return Err(bad);
             }
         }
-        Ok(known)
+        Ok(protocol_headers)
     }
 }
 
-/// A header's number, which can be neither negative nor without end.
+/// Parses a header as a finite, non-negative number.
 fn number(text: Option<&str>) -> Result<Option<f64>, (StatusCode, &'static str)> {
     let Some(text) = text else { return Ok(None) };
     let number = text.trim().parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0);
     number.map(Some).ok_or((StatusCode::BAD_REQUEST, "a header is no number"))
 }
 
-/// Path and query alone, as they came, also of a request in absolute form.
+/// Path and query as received, also for a request target in absolute form.
 pub(super) fn target(uri: &Uri) -> Uri {
     uri.path_and_query().map_or_else(Uri::default, |p| Uri::from(p.clone()))
 }
--- a/crates/sandgap/src/front/mod.rs
+++ b/crates/sandgap/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: reads whole requests, checks them, and gives each exactly one final answer.
+//! Client side: accepts connections, reads and validates requests, and gives each exactly one final answer.
 
 mod admission;
 mod answer;
@@ -33,55 +33,60 @@
 use crate::upstream::Upstreams;
 use admission::{Client, Stage};
 use head::OpenIds;
-use limits::{BACKLOG, FINISH, LAST_ANSWER, PAUSE, QUEUE, QUIET, SILENT, SPARED, STAY, SWEEP};
+use limits::{
+    ACCEPT_AFTER_STOP, ACCEPT_RETRY_DELAY, BACKLOG, FINISH_TIME, LAST_ANSWER_AFTER, MAX_QUEUE_WAIT,
+    MIN_STAGE_AGE, QUEUE_QUIET, SILENT_WAIT, SWEEP_INTERVAL,
+};
 
-/// What all connections share.
+/// State shared by all client connections.
 pub struct Frontend {
     inbox: Inbox,
     generations: RefCell<Generations>,
     upstreams: Rc<Upstreams>,
-    /// Sockets for clients and backends together.
+    /// Maximum number of sockets for clients and backends together.
     budget: Cell<usize>,
-    /// Whether clients are taken.
+    /// Whether the proxy accepts clients.
     serving: Rc<Serving>,
+    /// Next connection, request or sequence number.
     next: Cell<u64>,
-    /// Connections, those of them with an open request, and the others by stage and age.
+    /// Connections: all (`open`) and those with an open request (`busy`); for the others see `by_stage`.
     open: Cell<usize>,
     busy: Cell<usize>,
-    /// Those of them with a long answer on its way, and those with a long request.
+    /// Long answers being sent, and long requests in progress.
     answering: Cell<usize>,
     uploading: Cell<usize>,
-    /// Long requests at once.
+    /// Maximum number of long requests in progress.
     uploads: usize,
-    /// What they may read ahead together.
+    /// Shared read-ahead budget of long requests.
     read_ahead: Rc<ReadAheadBudget>,
     /// See [`crate::config::Config::grace`].
     grace: Duration,
     /// When the accept queue was last seen empty.
-    empty: Cell<Instant>,
-    /// When a connection could not be accepted last for want of descriptors or buffers.
-    short: Cell<Option<Instant>>,
-    standing: RefCell<[BTreeMap<u64, Rc<Client>>; SPARED.len()]>,
+    queue_empty_at: Cell<Instant>,
+    /// When an accept last failed for lack of descriptors or buffers.
+    last_shortage: Cell<Option<Instant>>,
+    /// Connections without an open request, by stage, oldest first.
+    by_stage: RefCell<[BTreeMap<u64, Rc<Client>>; MIN_STAGE_AGE.len()]>,
     ids: OpenIds,
-    left: Notify,
+    /// Notified when a connection, a long request or a long answer ends.
+    released: Notify,
     diagnostics: Rc<Diagnostics>,
-    /// Where rules are agreed: whether a request may be taken.
+    /// If rules are agreed: decides whether a request may be accepted.
     rules: OnceCell<Rc<Rules>>,
 }
 
-/// Bounds on long requests.
+/// Limits on long requests.
 #[derive(Clone, Copy, Debug)]
 pub struct UploadLimits {
-    /// How many may go on at once.
+    /// Maximum number in progress at once.
     pub at_once: usize,
-    /// Bytes that they may hold together of what no backend has asked for yet.
+    /// Bytes that they may buffer together ahead of their backends.
     pub read_ahead_bytes: usize,
 }
 
 impl Frontend {
-    /// A front for clients. `budget` counts sockets of clients and backends together; `serving` says
-    /// whether clients are taken; `uploads` bounds long requests; for `grace` see
-    /// [`crate::config::Config`].
+    /// Creates the client side. `budget` counts sockets of clients and backends together; `serving` tells whether
+    /// clients are accepted; `uploads` limits long requests; for `grace` see [`crate::config::Config`].
     pub fn new(
         inbox: Inbox, generations: Generations, upstreams: Rc<Upstreams>, budget: usize,
         serving: Rc<Serving>, uploads: UploadLimits, grace: Duration,
@@ -101,47 +106,47 @@
             uploads: uploads.at_once,
             read_ahead: ReadAheadBudget::new(uploads.read_ahead_bytes),
             grace,
-            empty: Cell::new(Instant::now()),
-            short: Cell::default(),
-            standing: RefCell::default(),
+            queue_empty_at: Cell::new(Instant::now()),
+            last_shortage: Cell::default(),
+            by_stage: RefCell::default(),
             ids: OpenIds::default(),
-            left: Notify::new(),
+            released: Notify::new(),
             diagnostics,
             rules: OnceCell::new(),
         })
     }
 
-    /// From now on a request is taken only by agreed rules.
+    /// From now on, accepts requests only under the agreed rules.
     pub fn agree(&self, rules: Rc<Rules>) {
-        let _ = self.rules.set(rules); // once, at the start
+        let _ = self.rules.set(rules); // called once, at startup
     }
 
-    /// Connections with a request that lacks its answer.
+    /// Number of connections with an unanswered request.
     pub fn busy(&self) -> usize {
         self.busy.get()
     }
 
-    /// Whether clients are taken.
+    /// Whether the proxy accepts clients.
     pub fn serving(&self) -> &Serving {
         &self.serving
     }
 
-    /// Whether other settings could be put in force now.
+    /// Checks whether other settings could be applied now.
     ///
     /// # Errors
-    /// Where open requests hold too many classes.
+    /// If open requests hold too many classes.
     pub fn would_change(&self, settings: &Settings, names: &Names) -> Result<(), String> {
         self.generations.borrow().fits(settings, names)
     }
 
-    /// Accepts and serves until `stop`, then finishes what has been taken.
+    /// Accepts and serves connections until `stop`, then finishes the accepted requests.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
         let sweeper = self.clone();
         tokio::task::spawn_local(async move {
             loop {
-                sleep(SWEEP).await;
+                sleep(SWEEP_INTERVAL).await;
                 sweeper.sweep();
-                while sweeper.open.get() > sweeper.most() && sweeper.make_room(false) {}
+                while sweeper.open.get() > sweeper.max_connections() && sweeper.make_room(false) {}
             }
         });
         tokio::pin!(stop);
@@ -155,49 +160,51 @@
             }
         }
         let longest = Duration::from_secs_f64(self.generations.borrow().longest().min(1e6) / 1000.0);
-        let told = self.upstreams.view().arrived_at();
-        self.inbox.put(Input::End(told + longest.min(self.grace) + LAST_ANSWER));
-        // Where another process accepts from the same queue, nothing in it is lost: a newer one, or the one before while
-        // this one has not served yet.
-        let queue_is_anothers = !self.serving.accepts();
-        // Idle connections close now: a request that crosses that comes again while connections still do.
+        let stopped_at = self.upstreams.view().arrived_at();
+        self.inbox.put(Input::End(stopped_at + longest.min(self.grace) + LAST_ANSWER_AFTER));
+        // If another process accepts from the same queue, nothing in it is lost. That is a newer process, or the previous
+        // one while this one has not served yet.
+        let other_process_accepts = !self.serving.accepts();
+        // Idle connections close now: a request that crosses the close is retried while connections are still accepted.
         self.serving.stop();
         self.close_all(Stage::Idle);
-        let end = Instant::now() + STAY;
-        if queue_is_anothers {
-            sleep(STAY).await; // what was accepted here just before may still be about to say something
+        let end = Instant::now() + ACCEPT_AFTER_STOP;
+        if other_process_accepts {
+            sleep(ACCEPT_AFTER_STOP).await; // connections accepted just before may still send a request
         } else {
             while timeout_at(end, self.clone().accept(&listener)).await.is_ok() {}
-            let end = Instant::now() + STAY; // a bound, should they never cease to come
-            while Instant::now() < end && timeout(QUIET, self.clone().accept(&listener)).await.is_ok() {}
+            let end = Instant::now() + ACCEPT_AFTER_STOP; // upper bound, in case connections keep arriving
+            while Instant::now() < end && timeout(QUEUE_QUIET, self.clone().accept(&listener)).await.is_ok() {
+            }
         }
         drop(listener);
-        sleep(SILENT).await;
+        sleep(SILENT_WAIT).await;
         self.close_all(Stage::Silent);
-        let end = Instant::now() + longest + FINISH;
+        let end = Instant::now() + longest + FINISH_TIME;
         while self.unfinished() > 0 {
-            // A long answer that has begun is not cut off for as long as the process may live.
-            let end = if self.answering.get() > 0 { end.max(Instant::now() + SWEEP) } else { end };
-            if timeout_at(end, self.left.notified()).await.is_err() && self.answering.get() == 0 {
-                return note!(warn: "ended with connections open");
+            // A long answer that has started is not cut off while the process may run.
+            let end = if self.answering.get() > 0 { end.max(Instant::now() + SWEEP_INTERVAL) } else { end };
+            if timeout_at(end, self.released.notified()).await.is_err() && self.answering.get() == 0 {
+                return note!(warn: "shutdown: ended with client connections still open");
             }
         }
     }
 
+    /// Accepts one connection and spawns its task, or makes room for it.
     async fn accept(self: Rc<Self>, listener: &TcpListener) {
-        // Over the budget one leaves for each that comes, and if none can, the next waits a little for it. To
-        // let them wait on would age all that come, until their answers are too late.
-        let most = self.most();
-        if self.open.get() >= most {
-            let late = self.empty.get().elapsed() >= QUEUE;
-            if self.make_room(late) || !late {
-                let _ = timeout(PAUSE, self.left.notified()).await;
+        // Over the budget, one connection is evicted for each new one; if none can be, the new one waits for a short time.
+        // A longer wait would age all new connections until their answers are too late.
+        let max_connections = self.max_connections();
+        if self.open.get() >= max_connections {
+            let is_overdue = self.queue_empty_at.get().elapsed() >= MAX_QUEUE_WAIT;
+            if self.make_room(is_overdue) || !is_overdue {
+                let _ = timeout(ACCEPT_RETRY_DELAY, self.released.notified()).await;
                 return;
             }
             match timeout(Duration::ZERO, listener.accept()).await {
-                Ok(Ok(turned_away)) => drop(turned_away),
-                Ok(Err(_)) => sleep(PAUSE).await,
-                Err(_) => self.empty.set(Instant::now()),
+                Ok(Ok(connection)) => drop(connection),
+                Ok(Err(_)) => sleep(ACCEPT_RETRY_DELAY).await,
+                Err(_) => self.queue_empty_at.set(Instant::now()),
             }
             return;
         }
@@ -206,82 +213,86 @@
             next = listener.accept() => next,
             () = std::future::ready(()) => {
                 let next = listener.accept().await;
-                self.empty.set(self.upstreams.view().arrived_at()); // until this one came
+                self.queue_empty_at.set(self.upstreams.view().arrived_at()); // empty until this connection arrived
                 next
             }
         };
         match next {
             Ok((stream, _)) => {
-                if self.open.get() >= most * 7 / 8 {
+                if self.open.get() >= max_connections * 7 / 8 {
                     self.make_room(false);
                 }
-                let client = Client::new(self.number(), self.empty.get());
+                let client = Client::new(self.next_number(), self.queue_empty_at.get());
                 self.set_open(self.open.get() + 1);
                 self.busy.set(self.busy.get() + 1);
-                self.turn(&client, Stage::Silent);
+                self.set_stage(&client, Stage::Silent);
                 tokio::task::spawn_local(async move {
                     self.connection(Socket::new(stream), &client).await;
-                    self.turn(&client, Stage::Busy);
+                    self.set_stage(&client, Stage::Busy);
                     self.busy.set(self.busy.get() - 1);
                     self.set_open(self.open.get() - 1);
-                    self.left.notify_waiters();
+                    self.released.notify_waiters();
                 });
             }
             Err(e) => self.accept_failed(&e).await,
         }
     }
 
-    /// A connection could not be accepted. One that its own client gave up, or an interrupted call, is nothing that room
-    /// would mend; where descriptors or buffers are short, idle connections go first, and clients give way only to a
-    /// shortage that lasts.
+    /// Handles a failed accept. Freeing sockets doesn't help after a connection aborted by its client or an interrupted
+    /// call. If descriptors or buffers are short, an idle backend connection is closed first; a client is evicted only
+    /// if the shortage lasts.
     async fn accept_failed(&self, error: &io::Error) {
         note!(warn: "accept: {error}");
         if matches!(error.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted) {
             return;
         }
         if !retry::is_transient(error) {
-            return sleep(PAUSE).await; // whatever it is, it may come at once again
+            return sleep(ACCEPT_RETRY_DELAY).await; // the unknown error may recur at once
         }
-        let lasts = self.short.replace(Some(Instant::now())).is_some_and(|at| at.elapsed() < 3 * PAUSE);
+        let is_lasting = self
+            .last_shortage
+            .replace(Some(Instant::now()))
+            .is_some_and(|at| at.elapsed() < 3 * ACCEPT_RETRY_DELAY);
         self.upstreams.close_idle();
-        if lasts {
+        if is_lasting {
             self.make_room(false);
         }
-        sleep(PAUSE).await;
+        sleep(ACCEPT_RETRY_DELAY).await;
     }
 
-    /// Puts other settings in force for the requests that come from now on, and returns what the module has to be
-    /// told before the first of them.
+    /// Applies other settings to the requests that arrive from now on, and returns the change that the decision library
+    /// must process before the first of them.
     ///
     /// # Errors
-    /// Where open requests hold too many classes; nothing has changed then.
+    /// If open requests hold too many classes; nothing is changed then.
     pub fn change(&self, settings: &Settings, names: &Names) -> Result<Change, String> {
         self.generations.borrow_mut().change(settings, names)
     }
 
-    /// Sets how many sockets clients and backends may hold together: two processes share them while both run.
+    /// Sets the socket budget of clients and backends together: during an upgrade two processes share it.
     pub fn set_budget(&self, budget: usize) {
         self.budget.set(budget);
         self.set_open(self.open.get());
         self.upstreams.shrink(budget / 4);
     }
 
-    /// Notes how many connections there are, and how many sockets that leaves to backends.
+    /// Records the number of connections, and leaves the remaining sockets to backends.
     fn set_open(&self, open: usize) {
         self.open.set(open);
-        self.upstreams.leave(self.budget.get().saturating_sub(open));
+        self.upstreams.set_available(self.budget.get().saturating_sub(open));
     }
 
-    fn number(&self) -> u64 {
+    /// Next unique number.
+    fn next_number(&self) -> u64 {
         self.next.replace(self.next.get() + 1)
     }
 }
 
-/// Listens on the one address.
+/// Listens for clients on an address.
 pub fn listen(address: SocketAddr) -> io::Result<std::net::TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    socket.set_reuseaddr(true)?; // a restart finds old connections in TIME_WAIT
-    socket.set_reuseport(true)?; // an upgrade's new process listens beside the old one
+    socket.set_reuseaddr(true)?; // after a restart old connections may be in TIME_WAIT
+    socket.set_reuseport(true)?; // during an upgrade the new process listens beside the old one
     socket.bind(address)?;
     socket.listen(BACKLOG)?.into_std()
 }
--- a/crates/sandgap/src/front/receive.rs
+++ b/crates/sandgap/src/front/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving a request's body: a short one whole, a long one's first part.
+//! Receives a request's body: all of a short one, or the first part of a long one.
 
 use std::rc::Rc;
 
@@ -12,14 +12,15 @@
 use crate::upstream::Payload;
 use crate::view::View;
 
-/// A body, and whether its client has been waited for: then its time counts from here.
+/// A received body.
 pub(super) struct Received {
     pub(super) body: Payload,
-    pub(super) late: bool,
+    /// The body was waited for, so the client's timeout counts from now.
+    pub(super) has_waited: bool,
 }
 
-/// What a client is told of its body's fault.
-pub(super) fn told(trouble: Trouble) -> (StatusCode, &'static str) {
+/// The status and text for a client whose body failed.
+pub(super) fn error_response(trouble: Trouble) -> (StatusCode, &'static str) {
     match trouble {
         Trouble::TooLong => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
         Trouble::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body came too late"),
@@ -27,26 +28,27 @@
     }
 }
 
-/// Receives what has to be there before a request can go on. One that is told to be too long never comes here.
+/// Receives what is needed before a request can be forwarded. The caller has refused bodies whose declared length is
+/// too large.
 pub(super) async fn receive(
     mut incoming: Incoming, read_ahead: &Rc<ReadAheadBudget>, view: &Rc<View>,
 ) -> Result<Received, Trouble> {
     let length = incoming.size_hint().exact();
     let mut pace = Pace::default();
-    let mut have: Vec<Bytes> = Vec::new();
+    let mut chunks: Vec<Bytes> = Vec::new();
     loop {
         let until = pace.blocked(Instant::now());
         let frame = timeout_at(until, incoming.frame()).await.map_err(|_| Trouble::TooSlow)?;
         let Some(frame) = frame else {
-            return Ok(Received { body: Payload::Short(body::join(have)), late: pace.has_waited() });
+            return Ok(Received { body: Payload::Short(body::join(chunks)), has_waited: pace.has_waited() });
         };
         let Ok(data) = frame.map_err(|_| Trouble::Malformed)?.into_data() else { continue };
         pace.moved(Instant::now(), data.len());
-        have.push(data);
+        chunks.push(data);
         if pace.passed() > body::WHOLE as u64 {
             let (budget, view) = (read_ahead.clone(), view.clone());
-            let upload = Upload::new(body::join(have), incoming, pace, length, budget, view);
-            return Ok(Received { body: Payload::Long(upload), late: pace.has_waited() });
+            let upload = Upload::new(body::join(chunks), incoming, pace, length, budget, view);
+            return Ok(Received { body: Payload::Long(upload), has_waited: pace.has_waited() });
         }
     }
 }
--- a/crates/sandgap/src/socket.rs
+++ b/crates/sandgap/src/socket.rs
@@ -1,5 +1,5 @@
-//! A connected socket with two users on one thread: hyper, which reads and writes it, and the one who looks
-//! after the connection.
+//! A connected socket shared by two users on one thread: hyper, which reads and writes it, and the code that manages
+//! the connection.
 
 use std::future::poll_fn;
 use std::io;
@@ -12,42 +12,41 @@
 use tokio::io::{Interest, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Listens on an address that no other process listens on.
+/// Listens on an address without sharing it with another process.
 ///
 /// # Errors
-/// The system's, where the address can't be used.
+/// The system's error if the address can't be used.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
 
-/// A socket; clones are the same one. Reads and writes go on until the system says that there is no more, see
-/// [`sandgap_socket`].
+/// A shared socket; clones refer to the same one. Reads and writes continue until the system reports that it would
+/// block, see [`sandgap_socket`].
 #[derive(Clone)]
 pub struct Socket(SharedStream<TcpStream>);
 
 impl Socket {
-    /// Takes over a connection; small writes go out at once.
+    /// Wraps a connection and disables Nagle's algorithm, so that small writes are sent at once.
     pub fn new(stream: TcpStream) -> Self {
-        let _ = stream.set_nodelay(true); // slower without, no worse
+        let _ = stream.set_nodelay(true); // on failure only slower
         Socket(stream.into())
     }
 
-    /// Reads what there is.
+    /// Reads available bytes.
     pub fn poll_read(&self, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         self.0.poll_read_some(cx, buf)
     }
 
-    /// Writes what there is room for.
+    /// Writes as many bytes as the socket accepts.
     pub fn poll_write(&self, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.0.poll_write_some(cx, bytes)
     }
 
-    /// Waits until the other side has ended its sending or the connection, also where that stands behind bytes which
-    /// nobody has read yet.
+    /// Waits until the peer has closed its sending side or the connection, even if unread bytes precede the close.
     pub async fn peer_closed(&self) {
-        // Of urgent data, which is the rest of this interest, the socket is never told: it is not registered for it.
+        // This interest also covers urgent data, but the socket is not registered for that and is never notified of it.
         while let Ok(ready) = self.0.ready(Interest::PRIORITY).await {
             if ready.is_read_closed() {
                 return;
@@ -55,26 +54,26 @@
         }
     }
 
-    /// Tells the other side that nothing more comes.
+    /// Closes the sending side of the connection.
     ///
     /// # Errors
-    /// The system's, where the connection has ended before.
+    /// The system's error if the connection has already ended.
     pub fn end_sending(&self) -> io::Result<()> {
         SockRef::from(&*self.0).shutdown(Shutdown::Write)
     }
 
-    /// Ends the connection once the other side has taken nothing of what is written for so long (RFC 5482).
-    pub fn wait_for_reader(&self, most: std::time::Duration) {
-        let _ = SockRef::from(&*self.0).set_tcp_user_timeout(Some(most)); // it waits longer without
+    /// Closes the connection once the peer has acknowledged no written data for `timeout` (TCP user timeout, RFC 5482).
+    pub fn wait_for_reader(&self, timeout: std::time::Duration) {
+        let _ = SockRef::from(&*self.0).set_tcp_user_timeout(Some(timeout)); // on failure it waits longer
     }
 
-    /// Has the close reset the connection, so that the other side sees that what it has is not whole.
+    /// Makes the close reset the connection, so that the peer sees that the data is incomplete.
     pub fn reset_at_close(&self) {
-        let _ = SockRef::from(&*self.0).set_linger(Some(std::time::Duration::ZERO)); // it ends in order without
+        let _ = SockRef::from(&*self.0).set_linger(Some(std::time::Duration::ZERO)); // on failure the close is orderly
     }
 
-    /// Whether the other side has neither ended the connection nor said anything that has not been read. The
-    /// runtime may not have seen it yet, so the system is asked.
+    /// Whether the peer has neither closed the connection nor sent unread bytes. Asks the system, as the runtime may not
+    /// have noticed yet.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         loop {
@@ -86,16 +85,16 @@
         }
     }
 
-    /// Waits until the other side says something or ends, and leaves that unread.
-    pub async fn heard(&self) {
+    /// Waits until the peer sends something or closes, without reading it.
+    pub async fn readable(&self) {
         let mut byte = [0];
-        let _ = poll_fn(|cx| self.0.poll_peek(cx, &mut ReadBuf::new(&mut byte))).await; // an end, too
+        let _ = poll_fn(|cx| self.0.poll_peek(cx, &mut ReadBuf::new(&mut byte))).await; // a close also counts as readable
     }
 
-    /// Reads and drops what comes until the other side ends, or `most` bytes have come.
-    pub async fn drain(&self, most: usize) {
+    /// Reads and discards data until the peer closes or `max_bytes` have been read.
+    pub async fn drain(&self, max_bytes: usize) {
         let mut buffer = vec![0; 16 << 10];
-        let mut left = most;
+        let mut left = max_bytes;
         while left > 0 {
             let mut buf = ReadBuf::new(&mut buffer);
             match poll_fn(|cx| self.poll_read(cx, &mut buf)).await {
--- a/crates/sandgap/src/upstream/attempt.rs
+++ b/crates/sandgap/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: one request on one connection, from the pool to its outcome.
+//! One attempt: one request on one connection, from taking the connection to the outcome.
 
 use std::io;
 use std::time::Duration;
@@ -16,37 +16,38 @@
 use crate::event::{self, AnswerBy, Attempt};
 use crate::retry;
 
-/// A backend that says nothing for this long within a long answer has gone.
-const SILENCE: Duration = Duration::from_secs(10);
-/// Span between looks for that.
-const LOOK: Duration = Duration::from_secs(1);
-/// The same where the time of an answer that may be short is over, but its reader has not taken what there is of it.
-const LOOK_OVERDUE: Duration = Duration::from_millis(100);
+/// A backend that sends nothing for this long within a long answer is treated as failed.
+const MAX_SILENCE: Duration = Duration::from_secs(10);
+/// Interval between checks of a long answer.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// The same for an answer that may still be short and whose deadline has passed, while its client has not read what has
+/// arrived of it.
+const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Upstreams {
-    /// Makes one attempt and tells how it ended; the report gets that before the connection is pooled.
+    /// Makes one attempt and reports its outcome before the connection is returned to the pool.
     pub(super) async fn attempt(&self, message: &Outgoing, attempt: Attempt) {
         let Attempt { endpoint, wanted, lease, mut until, answer_by, before, mut report } = attempt;
         let request_number = report.request();
         let mut uploads = match &message.body {
-            Payload::Long(upload) if upload.is_spent() => return report.tell(Outcome::NotSent, None),
+            Payload::Long(upload) if upload.is_spent() => return report.finish(Outcome::NotSent, None),
             Payload::Long(upload) => Some(upload),
             Payload::Short(_) => None,
         };
-        // Whatever goes wrong before the request's last byte is written proves that it never ran.
+        // If anything fails before the request's last byte is written, the request can't have run.
         let mut connection = match timeout_at(until, self.connection(&endpoint)).await {
             Ok(Ok(connection)) => connection,
-            // No descriptor, port or route is left, which is no fault of the backend's.
+            // No descriptor, port or route is available, which is not the backend's fault.
             Ok(Err(e)) if e.kind() == io::ErrorKind::QuotaExceeded || retry::is_local(&e) => {
-                return report.tell(Outcome::NotSent, None);
+                return report.finish(Outcome::NotSent, None);
             }
-            Ok(Err(_)) | Err(_) => return report.tell(Outcome::ConnectFailed, None),
+            Ok(Err(_)) | Err(_) => return report.finish(Outcome::ConnectFailed, None),
         };
         if !endpoint.is_open() || !wanted.get() {
-            return report.tell(Outcome::NotSent, None);
+            return report.finish(Outcome::NotSent, None);
         }
         let head_made = Instant::now();
-        let Some(request) = message.request(until) else { return report.tell(Outcome::NotSent, None) };
+        let Some(request) = message.request(until) else { return report.finish(Outcome::NotSent, None) };
         let write_progress = connection.write_progress.clone();
         write_progress.start(
             SendPrecondition { endpoint: endpoint.clone(), wanted, lease, before, until, head_made },
@@ -57,10 +58,11 @@
             tokio::select! {
                 biased;
                 answer = exchange(sender, request, &write_progress, &answer_by) => answer,
-                () = write_progress.stalled() => Err("the answer has no end".into()),
+                () = write_progress.stalled() => Err("the response stalled before its end".into()),
             }
         };
-        // A long request may take its time; the backend's begins with its last byte, the client's has by then.
+        // A long request has no timeout while it is sent. The backend's time starts with its last byte; the client's timeout
+        // has started by then.
         let answer = {
             tokio::pin!(answer);
             loop {
@@ -73,7 +75,7 @@
                     }
                     () = sleep_until(until), if uploads.is_none() => break None,
                     () = write_progress.held_up(&answer_by, message.patience), if uploads.is_some() => break None,
-                    // Its last byte would come when its repeat is no longer dropped.
+                    // Its last byte would arrive when the backend no longer drops a duplicate.
                     () = sleep_until(before.unwrap_or(until)), if uploads.is_some() && before.is_some() => break None,
                 }
             }
@@ -81,41 +83,42 @@
         let took = report.sent().elapsed();
         match answer {
             Some(Ok(ResponsePart::Whole(outcome, reply, keep))) => {
-                report.tell(outcome, reply.map(|r| Box::new(r) as event::Reply));
+                report.finish(outcome, reply.map(|r| Box::new(r) as event::Reply));
                 write_progress.precondition.replace(None);
-                self.keep(&endpoint, connection, keep && write_progress.complete(), took).await;
+                self.keep(&endpoint, connection, keep && write_progress.is_complete(), took).await;
             }
             Some(Ok(ResponsePart::Long(reply, progress, end))) => {
                 report.started(Box::new(reply));
                 write_progress.precondition.replace(None);
                 let (outcome, keep) = follow(&progress, end, &answer_by).await;
-                report.tell(outcome, None);
-                self.keep(&endpoint, connection, keep && write_progress.complete(), took).await;
+                report.finish(outcome, None);
+                self.keep(&endpoint, connection, keep && write_progress.is_complete(), took).await;
             }
-            Some(Err(_)) if write_progress.denied.get().is_some() && !write_progress.begun.get() => {
+            Some(Err(_)) if write_progress.denied.get().is_some() && !write_progress.has_begun.get() => {
                 let reason = write_progress.denied.get().map_or("", Denial::name);
                 self.diagnostics.count(Event::Denial, reason);
                 let fields = || json!({"request": request_number.0, "reason": reason});
                 self.diagnostics.trace("held_back", fields);
-                report.tell(Outcome::NotSent, None);
+                report.finish(Outcome::NotSent, None);
             }
-            Some(Err(_)) | None if !write_progress.complete() => report.tell(Outcome::ConnectFailed, None),
-            Some(Err(_)) => report.tell(Outcome::Reset, None),
-            None => report.tell(Outcome::TimedOut, None), // the connection is dropped, never used again
+            Some(Err(_)) | None if !write_progress.is_complete() => {
+                report.finish(Outcome::ConnectFailed, None)
+            }
+            Some(Err(_)) => report.finish(Outcome::Reset, None),
+            None => report.finish(Outcome::TimedOut, None), // the connection is closed, not reused
         }
     }
 }
 
-/// Waits for the end of a long answer; the flag says whether its connection may be kept. A reader that leaves or
-/// takes nothing is no fault of the backend. One that has not shown to be long ends with its client's time: the reader
-/// sees it cut.
+/// Waits for the end of a long answer; the flag tells whether its connection may be reused. A client that disconnects or
+/// reads nothing is not the backend's fault. An answer that may still be short is cut off at the client's deadline.
 async fn follow(progress: &Progress, mut end: End, answer_by: &AnswerBy) -> (Outcome, bool) {
     loop {
         let left = answer_by.instant().saturating_duration_since(Instant::now());
-        let look = match progress.may_be_short() {
-            true if left.is_zero() => LOOK_OVERDUE,
-            true => left.min(LOOK),
-            false => LOOK,
+        let wait = match progress.may_be_short() {
+            true if left.is_zero() => OVERDUE_CHECK_INTERVAL,
+            true => left.min(CHECK_INTERVAL),
+            false => CHECK_INTERVAL,
         };
         tokio::select! {
             biased;
@@ -124,10 +127,10 @@
                 Ok(false) => (Outcome::Reset, false),
                 Err(_) => (Outcome::Served, false),
             },
-            () = sleep(look) => {
-                let over = progress.may_be_short() && Instant::now() >= answer_by.instant();
-                if progress.silence() >= SILENCE || over && progress.waits_for_backend() {
-                    return (Outcome::Reset, false); // the connection goes, and the reader sees the answer cut
+            () = sleep(wait) => {
+                let is_overdue = progress.may_be_short() && Instant::now() >= answer_by.instant();
+                if progress.silence() >= MAX_SILENCE || is_overdue && progress.waits_for_backend() {
+                    return (Outcome::Reset, false); // the connection is closed, and the client sees a truncated answer
                 }
             }
         }
--- a/crates/sandgap/src/upstream/mod.rs
+++ b/crates/sandgap/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts at backends. One attempt is one request on one connection, and nothing is ever resent here.
+//! Attempts at backends. One attempt is one request on one connection; this module never resends a request.
 
 mod attempt;
 mod pool;
@@ -19,17 +19,17 @@
 
 const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
 
-/// A client's request in the form in which it goes on.
+/// A client's request as it is forwarded.
 pub struct Outgoing {
-    /// Its method.
+    /// Request method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Without those of one connection alone.
+    /// End-to-end headers; hop-by-hop headers are removed.
     pub headers: HeaderMap,
-    /// What goes with it.
+    /// Request body.
     pub body: Payload,
-    /// How long the client waits, from the request's last byte.
+    /// How long the client waits after the request's last byte.
     pub patience: Duration,
 }
 
@@ -37,25 +37,25 @@
 pub enum Payload {
     /// At most [`crate::body::WHOLE`] bytes.
     Short(Bytes),
-    /// More, as they come.
+    /// A longer body, streamed as it arrives.
     Long(Rc<Upload>),
 }
 
 /// A backend's answer.
 pub struct Reply {
-    /// Without those of one connection alone.
+    /// End-to-end headers; hop-by-hop headers are removed.
     pub headers: HeaderMap,
-    /// Whole, or as it comes.
+    /// The body: buffered, or streamed as it arrives.
     pub body: Answering,
 }
 
-/// A client's request and the connections by which it goes on. `T` is what is held until it is done with.
+/// A client's request and the connections over which it is forwarded. `T` is a guard held until the request is done.
 pub struct Forwarded<T> {
-    /// The request.
+    /// The request to forward.
     pub message: Outgoing,
-    /// How it reaches backends.
+    /// Connections to backends.
     pub upstreams: Rc<Upstreams>,
-    /// Held as long as the request.
+    /// Guard that lives as long as the request.
     pub hold: T,
 }
 
@@ -69,9 +69,9 @@
     }
 }
 
-/// Takes out the headers that concern one connection alone, and the length, which is set anew.
+/// Removes hop-by-hop headers and Content-Length, which is set again when the message is sent.
 pub fn strip(headers: &mut HeaderMap) {
-    const FIXED: [HeaderName; 9] = [
+    const HOP_BY_HOP: [HeaderName; 9] = [
         header::CONNECTION,
         header::CONTENT_LENGTH,
         header::EXPECT,
@@ -82,29 +82,29 @@
         header::TRANSFER_ENCODING,
         header::UPGRADE,
     ];
-    const NAMED: [&str; 2] = ["keep-alive", "proxy-connection"];
-    let mut out: Vec<HeaderName> = Vec::new(); // allocates nothing where nothing goes
+    const NONSTANDARD_HOP_BY_HOP: [&str; 2] = ["keep-alive", "proxy-connection"];
+    let mut to_remove: Vec<HeaderName> = Vec::new(); // doesn't allocate if nothing is removed
     for name in headers.keys() {
-        if FIXED.contains(name) || NAMED.contains(&name.as_str()) {
-            out.push(name.clone());
+        if HOP_BY_HOP.contains(name) || NONSTANDARD_HOP_BY_HOP.contains(&name.as_str()) {
+            to_remove.push(name.clone());
         }
     }
-    if out.contains(&header::CONNECTION) {
+    if to_remove.contains(&header::CONNECTION) {
         let named = headers.get_all(header::CONNECTION).iter().filter_map(|v| v.to_str().ok());
-        out.extend(named.flat_map(|v| v.split(',')).filter_map(|name| name.trim().parse().ok()));
+        to_remove.extend(named.flat_map(|v| v.split(',')).filter_map(|name| name.trim().parse().ok()));
     }
-    for name in &out {
+    for name in &to_remove {
         headers.remove(name);
     }
 }
 
 impl Outgoing {
-    /// When the client of a long request gives up, if its last byte came now at the latest.
+    /// When the client of a long request stops waiting; assumes that its last byte arrives now if it has not yet.
     pub(super) fn patience_ends(&self, upload: &Upload) -> Instant {
         upload.received_at().unwrap_or_else(Instant::now) + self.patience
     }
 
-    /// The request for one attempt; `X-Timeout` tells how long this proxy will wait.
+    /// Builds the request for one attempt; `X-Timeout` gives how long this proxy will wait.
     fn request(&self, until: Instant) -> Option<Request<Sending>> {
         let (body, until) = match &self.body {
             Payload::Short(bytes) => (Sending::Whole(Some(bytes.clone()).filter(|b| !b.is_empty())), until),
@@ -114,7 +114,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        // Whole milliseconds: what an integer costs to write is a part of what a float does.
+        // Whole milliseconds: formatting integers is cheaper than formatting a float.
         let left = until.saturating_duration_since(Instant::now()).as_millis();
         let left = HeaderValue::from_str(&format!("{}.{:03}", left / 1000, left % 1000)).ok()?;
         request.headers_mut().insert(TIMEOUT, left);
@@ -127,7 +127,7 @@
     use super::*;
 
     #[test]
-    fn headers_of_one_connection_go_no_further() {
+    fn hop_by_hop_headers_are_not_forwarded() {
         let mut headers = HeaderMap::new();
         for (name, value) in
             [("connection", "x-own, close"), ("x-own", "1"), ("x-kept", "2"), ("te", "trailers")]
--- a/crates/sandgap/src/upstream/progress.rs
+++ b/crates/sandgap/src/upstream/progress.rs
@@ -1,5 +1,5 @@
-//! What has been written of a request, followed on its way onto the socket: the first byte is held back where it may not
-//! go, and the last one proves whether the request may have run.
+//! Tracks how much of a request has been written to the socket. The first byte is held back if sending is not permitted;
+//! whether the last byte was written decides whether the request may have run.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -19,48 +19,51 @@
 use crate::socket::Socket;
 use crate::view::View;
 
-/// Once an answer has begun, a part of it must come at least every so often. An answer that is told longer than it
-/// is would else keep its request until the client gives up.
-const STALL: Duration = Duration::from_millis(500);
-/// Span between looks for a long request that is held up: its deadline moves when its last byte has come.
-const LOOK_HELD_UP: Duration = Duration::from_millis(50);
+/// Maximum gap between parts of an answer that has started. Otherwise an answer shorter than its declared length would
+/// block its request until the client times out.
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between checks for a blocked long request: its deadline changes when its last byte arrives.
+const HELD_UP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Follows the bytes of a request onto the socket, and holds the first one back where it may not go.
+/// Tracks the bytes of a request written to the socket, and holds back the first one if sending is not permitted.
 #[derive(Default)]
 pub(super) struct WriteProgress {
-    /// What must still hold when the first byte is written; there is none between requests.
+    /// Condition checked when the first byte is written; `None` between requests.
     pub(super) precondition: RefCell<Option<SendPrecondition>>,
-    pub(super) begun: Cell<bool>,
-    /// Why it was held back, if it was.
+    /// The first byte has been written.
+    pub(super) has_begun: Cell<bool>,
+    /// Why the first byte was held back, if it was.
     pub(super) denied: Cell<Option<Denial>>,
-    /// How much of the blank line that ends the head has been seen.
-    blank: Cell<usize>,
-    /// Bytes of the body still to be written.
-    left: Cell<u64>,
-    /// A body whose length is not told ends with its last chunk.
-    chunked: RefCell<Option<Rc<Upload>>>,
+    /// How many bytes of [`HEAD_END`] have been matched.
+    head_end_matched: Cell<usize>,
+    /// Bytes of the body that remain to be written.
+    body_left: Cell<u64>,
+    /// A body of unknown length, sent chunked, which ends with its last chunk.
+    chunked_body: RefCell<Option<Rc<Upload>>>,
+    /// The last bytes of that body that were written.
     tail: Cell<[u8; LAST_CHUNK.len()]>,
-    /// Since when the backend has taken nothing of what is to be written.
-    blocked: Cell<Option<Instant>>,
-    /// Told when a request's last byte is written.
+    /// Since when the socket has accepted no bytes.
+    blocked_since: Cell<Option<Instant>>,
+    /// Notified when a request's last byte is written.
     finished: Notify,
-    /// When the last part of an answer came that has not come to its end.
-    partial: Cell<Option<Instant>>,
-    /// The answer's head has come: what stops now is its body.
+    /// When the latest part of an incomplete answer arrived.
+    last_part_at: Cell<Option<Instant>>,
+    /// The answer's head has been received; its body follows.
     in_body: Cell<bool>,
-    read: Notify,
+    /// Notified when a part of an answer is read.
+    part_read: Notify,
 }
 
-/// The backend must still take work, the request still lack its answer, and a repeat still be dropped: each may have
-/// changed while the connection came up.
+/// Conditions for sending the first byte: the backend still accepts requests, the request is still unanswered, and a
+/// duplicate would still be dropped. Each may have changed while the connection was established.
 pub(super) struct SendPrecondition {
     pub(super) endpoint: Rc<Endpoint>,
     pub(super) wanted: Rc<Cell<bool>>,
     pub(super) lease: Option<Rc<dyn Lease>>,
     pub(super) before: Option<Instant>,
-    /// When its client gives up.
+    /// When the client stops waiting.
     pub(super) until: Instant,
-    /// When its head was made.
+    /// When the request's head was built.
     pub(super) head_made: Instant,
 }
 
@@ -80,72 +83,73 @@
     }
 }
 
-const BLANK: &[u8] = b"\r\n\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
 const LAST_CHUNK: [u8; 5] = *b"0\r\n\r\n";
 
 impl WriteProgress {
+    /// Starts tracking a new request.
     pub(super) fn start(&self, precondition: SendPrecondition, body: &Payload) {
         self.precondition.replace(Some(precondition));
-        self.begun.set(false);
+        self.has_begun.set(false);
         self.denied.set(None);
-        self.blank.set(0);
+        self.head_end_matched.set(0);
         let (left, chunked) = match body {
             Payload::Short(bytes) => (bytes.len() as u64, None),
             Payload::Long(upload) => {
                 (upload.length().unwrap_or(0), Some(upload).filter(|u| u.length().is_none()))
             }
         };
-        self.left.set(left);
-        self.chunked.replace(chunked.cloned());
+        self.body_left.set(left);
+        self.chunked_body.replace(chunked.cloned());
         self.tail.take();
-        self.blocked.set(None);
-        self.partial.set(None);
+        self.blocked_since.set(None);
+        self.last_part_at.set(None);
         self.in_body.set(false);
     }
 
-    /// The answer's head has come.
-    pub(super) fn body_begins(&self) {
+    /// Records that the answer's head has been received.
+    pub(super) fn answer_head_received(&self) {
         self.in_body.set(true);
-        self.partial.set(Some(Instant::now()));
-        self.read.notify_one();
+        self.last_part_at.set(Some(Instant::now()));
+        self.part_read.notify_one();
     }
 
-    /// Notes what has been read of an answer. What stops at a blank line may be an interim answer's whole head,
-    /// after which the real one takes its time.
-    pub(super) fn got(&self, bytes: &[u8]) {
-        self.partial.set((self.in_body.get() || !bytes.ends_with(BLANK)).then(Instant::now));
-        self.read.notify_one();
+    /// Records bytes read of an answer. Bytes that end with an empty line may be a complete interim response (1xx), after
+    /// which the final one may take longer.
+    pub(super) fn record_read(&self, bytes: &[u8]) {
+        self.last_part_at.set((self.in_body.get() || !bytes.ends_with(HEAD_END)).then(Instant::now));
+        self.part_read.notify_one();
     }
 
     /// Waits until the request's last byte is written.
     pub(super) async fn finished(&self) {
-        while !self.complete() {
-            self.finished.notified().await; // perhaps of a request before it
+        while !self.is_complete() {
+            self.finished.notified().await; // the notification may be of an earlier request
         }
     }
 
-    /// Waits until a long request's client has waited for long enough, or its backend has taken nothing for `most`.
-    pub(super) async fn held_up(&self, answer_by: &AnswerBy, most: Duration) {
-        let is_deaf = || self.blocked.get().is_some_and(|since| since.elapsed() >= most);
-        while Instant::now() < answer_by.instant() && !is_deaf() {
-            sleep(LOOK_HELD_UP).await;
+    /// Waits until a long request's client deadline has passed, or its backend has accepted no bytes for `max_blocked`.
+    pub(super) async fn held_up(&self, answer_by: &AnswerBy, max_blocked: Duration) {
+        let is_blocked = || self.blocked_since.get().is_some_and(|since| since.elapsed() >= max_blocked);
+        while Instant::now() < answer_by.instant() && !is_blocked() {
+            sleep(HELD_UP_CHECK_INTERVAL).await;
         }
     }
 
-    /// Waits until an answer has begun and not come to its end for too long.
+    /// Waits until an answer that has started but not ended has made no progress for [`STALL_TIMEOUT`].
     pub(super) async fn stalled(&self) {
         loop {
-            match self.partial.get() {
-                Some(since) if since.elapsed() >= STALL => return,
-                Some(since) => sleep_until(since + STALL).await,
-                None => self.read.notified().await,
+            match self.last_part_at.get() {
+                Some(since) if since.elapsed() >= STALL_TIMEOUT => return,
+                Some(since) => sleep_until(since + STALL_TIMEOUT).await,
+                None => self.part_read.notified().await,
             }
         }
     }
 
-    /// Whether a write may go on.
+    /// Whether a write is permitted.
     pub(super) fn may_write(&self) -> bool {
-        if self.begun.get() {
+        if self.has_begun.get() {
             return true;
         }
         let precondition = self.precondition.borrow();
@@ -154,17 +158,22 @@
         denial.is_none()
     }
 
-    pub(super) fn wrote(&self, bytes: &[u8]) {
-        self.begun.set(self.begun.get() || !bytes.is_empty());
+    /// Records bytes written to the socket.
+    pub(super) fn record_write(&self, bytes: &[u8]) {
+        self.has_begun.set(self.has_begun.get() || !bytes.is_empty());
         let mut rest = bytes;
-        while self.blank.get() < BLANK.len() {
+        while self.head_end_matched.get() < HEAD_END.len() {
             let Some((&byte, after)) = rest.split_first() else { return };
             rest = after;
-            let seen = self.blank.get();
-            self.blank.set(if byte == BLANK[seen] { seen + 1 } else { usize::from(byte == b'\r') });
+            let seen = self.head_end_matched.get();
+            self.head_end_matched.set(if byte == HEAD_END[seen] {
+                seen + 1
+            } else {
+                usize::from(byte == b'\r')
+            });
         }
-        self.left.set(self.left.get().saturating_sub(rest.len() as u64));
-        if self.chunked.borrow().is_some() {
+        self.body_left.set(self.body_left.get().saturating_sub(rest.len() as u64));
+        if self.chunked_body.borrow().is_some() {
             let mut tail = self.tail.get();
             let kept = rest.len().min(tail.len());
             tail.rotate_left(kept);
@@ -172,22 +181,22 @@
             tail[at..].copy_from_slice(&rest[rest.len() - kept..]);
             self.tail.set(tail);
         }
-        if self.complete() {
+        if self.is_complete() {
             self.finished.notify_one();
         }
     }
 
-    /// Whether the request's last byte has been written: from then on it may have run.
-    pub(super) fn complete(&self) -> bool {
-        let whole = match &*self.chunked.borrow() {
+    /// Whether the request's last byte has been written; from then on the request may have run.
+    pub(super) fn is_complete(&self) -> bool {
+        let is_body_complete = match &*self.chunked_body.borrow() {
             Some(upload) => upload.has_ended() && self.tail.get() == LAST_CHUNK,
-            None => self.left.get() == 0,
+            None => self.body_left.get() == 0,
         };
-        self.blank.get() == BLANK.len() && whole
+        self.head_end_matched.get() == HEAD_END.len() && is_body_complete
     }
 }
 
-/// The socket under a connection, with its write_progress. It holds its part of the budget of sockets.
+/// A connection's socket with its write progress. Holds its permit of the socket budget.
 pub(super) struct TrackedStream {
     pub(super) stream: Socket,
     pub(super) write_progress: Rc<WriteProgress>,
@@ -199,28 +208,28 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         std::task::ready!(self.stream.poll_read(cx, buf))?;
-        self.write_progress.got(&buf.filled()[before..]);
+        self.write_progress.record_read(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
 
 impl AsyncWrite for TrackedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        // Whatever the precondition asks about may have changed while the process stood still.
-        if !self.write_progress.begun.get() {
+        // The facts behind the precondition may have changed during a standstill of the process.
+        if !self.write_progress.has_begun.get() {
             std::task::ready!(self.view.poll_current(cx));
         }
         if !self.write_progress.may_write() {
             return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
         }
-        let Poll::Ready(wrote) = self.stream.poll_write(cx, bytes) else {
-            let blocked = &self.write_progress.blocked;
+        let Poll::Ready(written) = self.stream.poll_write(cx, bytes) else {
+            let blocked = &self.write_progress.blocked_since;
             blocked.set(blocked.get().or_else(|| Some(Instant::now())));
             return Poll::Pending;
         };
-        let n = wrote?;
-        self.write_progress.blocked.set(None);
-        self.write_progress.wrote(&bytes[..n]);
+        let n = written?;
+        self.write_progress.blocked_since.set(None);
+        self.write_progress.record_write(&bytes[..n]);
         Poll::Ready(Ok(n))
     }
 
@@ -258,19 +267,19 @@
     }
 
     #[test]
-    fn a_request_is_complete_with_its_last_byte_however_it_is_cut() {
+    fn a_request_is_complete_with_its_last_byte_however_it_is_split() {
         let text = b"POST /x HTTP/1.1\r\nA: b\r\n\r\n\r\n\r\nbody";
-        for cut in 1..text.len() {
+        for split in 1..text.len() {
             let (write_progress, ..) = started(b"\r\n\r\nbody");
-            write_progress.wrote(&text[..cut]);
-            assert!(write_progress.begun.get() && !write_progress.complete(), "cut at {cut}");
-            write_progress.wrote(&text[cut..]);
-            assert!(write_progress.complete(), "cut at {cut}");
+            write_progress.record_write(&text[..split]);
+            assert!(write_progress.has_begun.get() && !write_progress.is_complete(), "split at {split}");
+            write_progress.record_write(&text[split..]);
+            assert!(write_progress.is_complete(), "split at {split}");
         }
     }
 
     #[test]
-    fn the_first_byte_waits_for_an_open_backend_and_a_wanted_request() {
+    fn the_first_byte_requires_an_open_backend_and_an_unanswered_request() {
         let (write_progress, endpoint, _) = started(b"");
         endpoint.set_open(false);
         assert!(!write_progress.may_write() && write_progress.denied.get() == Some(Denial::EndpointClosed));
@@ -279,8 +288,8 @@
         assert!(!write_progress.may_write());
         let (write_progress, endpoint, _) = started(b"");
         assert!(write_progress.may_write());
-        write_progress.wrote(b"G");
-        endpoint.set_open(false); // what has begun is finished
+        write_progress.record_write(b"G");
+        endpoint.set_open(false); // a request that has started is finished
         assert!(write_progress.may_write());
         assert!(!WriteProgress::default().may_write(), "nothing is written between requests");
     }
--- a/crates/sandgap/src/upstream/response.rs
+++ b/crates/sandgap/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reading a backend's answer: a short one whole, the beginning of a long one.
+//! Reads a backend's answer: all of a short one, or the first part of a long one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,44 +17,43 @@
 use crate::body::{self, Answering, Broken, End, Progress, Sending, Stream};
 use crate::event::AnswerBy;
 
-/// The reader of an answer that is told to be long has what has come so far after this span at the latest. What breaks
-/// before can still be answered as failed, or made good elsewhere.
-const GATHER_LONG: Duration = Duration::from_millis(150);
-/// An answer whose length is not told is most likely a short one, of which the last byte counts. It is gathered for this
-/// part of the time left, so that one that stops short can be made good elsewhere, and the first bytes of one that turns
-/// out long are still in time.
-const GATHER_PART: u32 = 2;
-/// And for no longer than this, where its request still comes in and no deadline counts yet.
-const LONGEST_GATHER: Duration = Duration::from_secs(10);
+/// Maximum time for which the start of an answer with a long declared length is buffered before it is passed on. A
+/// failure within that time can still be answered as failed or retried at another backend.
+const MAX_GATHER_DECLARED: Duration = Duration::from_millis(150);
+/// An answer of unknown length is most likely a short one, whose last byte counts. It is buffered for the time left
+/// divided by this, so that a truncated answer can be retried elsewhere and the first bytes of a long answer are still
+/// in time.
+const GATHER_DIVISOR: u32 = 2;
+/// Upper bound of that time, for when the request is still being received and no deadline applies yet.
+const MAX_GATHER: Duration = Duration::from_secs(10);
 
-/// Whether an answer says, once and plainly, that its request was not processed.
-fn is_unseen(headers: &HeaderMap) -> bool {
-    let mut words = headers.get_all("x-not-processed").iter();
-    words.next().is_some_and(|v| v.as_bytes().trim_ascii() == b"1") && words.next().is_none()
+/// Whether an answer has exactly one `X-Not-Processed: 1` header, which says that the request was not processed.
+fn is_marked_unprocessed(headers: &HeaderMap) -> bool {
+    let mut values = headers.get_all("x-not-processed").iter();
+    values.next().is_some_and(|v| v.as_bytes().trim_ascii() == b"1") && values.next().is_none()
 }
 
-/// What has come of an answer.
+/// What has been read of an answer.
 pub(super) enum ResponsePart {
-    /// All of it; the flag says whether the connection may be kept.
+    /// The complete answer; the flag tells whether the connection may be reused.
     Whole(Outcome, Option<Reply>, bool),
-    /// The beginning of a long one.
+    /// The first part of a long answer.
     Long(Reply, Rc<Progress>, End),
 }
 
-/// Sends a request and reads the answer, or the beginning of a long one.
+/// Sends a request and reads the answer, or the first part of a long one.
 pub(super) async fn exchange(
     sender: &mut SendRequest<Sending>, request: Request<Sending>, write_progress: &WriteProgress,
     answer_by: &AnswerBy,
 ) -> Result<ResponsePart, Broken> {
     let answer = sender.send_request(request).await?;
-    write_progress.body_begins();
+    write_progress.answer_head_received();
     let (head, body) = answer.into_parts();
     let length = body.size_hint().exact();
-    // A body that only the connection's end delimits may be cut short and nobody could tell, unless the head says
-    // that it will end so.
+    // A close-delimited body could be truncated unnoticed, so it is accepted only if the head announces the close.
     let chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
-    if length.is_none() && !chunked && !closes(&head.headers) {
-        return Err("the answer's length is not told".into());
+    if length.is_none() && !chunked && !announces_close(&head.headers) {
+        return Err("the response has no length, no chunked encoding and no Connection: close".into());
     }
     let keep = length.is_some() || chunked;
     let outcome = match head.status {
@@ -65,7 +64,7 @@
                 Gathered::Whole(bytes) => {
                     ResponsePart::Whole(Outcome::Served, Some(Reply { headers, body: bytes.into() }), keep)
                 }
-                Gathered::Begun(first, rest) => {
+                Gathered::Partial(first, rest) => {
                     let (stream, progress, end) = Stream::new(first, rest);
                     ResponsePart::Long(
                         Reply { headers, body: Answering::Long(Box::new(stream), None) },
@@ -75,7 +74,9 @@
                 }
             });
         }
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_unseen(&head.headers) => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
+            if is_marked_unprocessed(&head.headers) =>
+        {
             Outcome::Full
         }
         _ => Outcome::Error,
@@ -88,49 +89,54 @@
     ))
 }
 
-/// Whether an answer says that its connection ends with it.
-fn closes(headers: &HeaderMap) -> bool {
-    let words = headers.get_all(header::CONNECTION).iter().filter_map(|v| v.to_str().ok());
-    words.flat_map(|v| v.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close"))
+/// Whether an answer has `Connection: close`.
+fn announces_close(headers: &HeaderMap) -> bool {
+    let values = headers.get_all(header::CONNECTION).iter().filter_map(|v| v.to_str().ok());
+    values.flat_map(|v| v.split(',')).any(|value| value.trim().eq_ignore_ascii_case("close"))
 }
 
+/// A buffered answer body.
 enum Gathered {
+    /// The complete body.
     Whole(Bytes),
-    Begun(Bytes, Incoming),
+    /// The first part and the stream of the rest.
+    Partial(Bytes, Incoming),
 }
 
-/// Gathers a short answer whole, and of a long one no more than it takes to tell that it is long.
+/// Buffers a short answer completely, and a long one only until it is known to be long.
 async fn gather(
     mut incoming: Incoming, length: Option<u64>, answer_by: &AnswerBy,
 ) -> Result<Gathered, Broken> {
-    let span = match length {
+    let max_wait = match length {
         Some(length) if length <= body::WHOLE as u64 => {
             return Ok(Gathered::Whole(incoming.collect().await?.to_bytes()));
         }
-        Some(length) if length > body::LONGEST_ANSWER => return Err("the answer is too long".into()),
-        Some(_) => GATHER_LONG,
+        Some(length) if length > body::LONGEST_ANSWER => {
+            return Err("the response exceeds the maximum length".into());
+        }
+        Some(_) => MAX_GATHER_DECLARED,
         None => {
             let left = answer_by.instant().saturating_duration_since(Instant::now());
-            (left / GATHER_PART).min(LONGEST_GATHER)
+            (left / GATHER_DIVISOR).min(MAX_GATHER)
         }
     };
-    let mut have: Vec<Bytes> = Vec::new();
+    let mut chunks: Vec<Bytes> = Vec::new();
     let mut size = 0;
-    let patience = sleep(span);
-    tokio::pin!(patience);
+    let timer = sleep(max_wait);
+    tokio::pin!(timer);
     loop {
         let frame = tokio::select! {
             biased;
             frame = incoming.frame() => frame,
-            () = &mut patience, if size > 0 => return Ok(Gathered::Begun(body::join(have), incoming)),
+            () = &mut timer, if size > 0 => return Ok(Gathered::Partial(body::join(chunks), incoming)),
         };
-        let Some(frame) = frame else { return Ok(Gathered::Whole(body::join(have))) };
+        let Some(frame) = frame else { return Ok(Gathered::Whole(body::join(chunks))) };
         if let Ok(data) = frame?.into_data() {
             size += data.len();
-            have.push(data);
+            chunks.push(data);
         }
         if size > body::WHOLE {
-            return Ok(Gathered::Begun(body::join(have), incoming));
+            return Ok(Gathered::Partial(body::join(chunks), incoming));
         }
     }
 }
--- a/crates/sandgap/tests/ending.rs
+++ b/crates/sandgap/tests/ending.rs
@@ -152,7 +152,7 @@
         let socket = Socket::new(listener.accept().await.expect("a connection").0);
         socket.end_sending().expect("a connection");
         client.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("a connection");
-        socket.heard().await;
+        socket.readable().await;
         drop(socket);
         assert_eq!(client.read(&mut [0; 1]).map_err(|e| e.kind()).unwrap_or(0), 0, "an end or a reset");
         // A reset, which tells the client that nobody has read it.
