--- a/crates/sandgap/src/beliefs.rs
+++ b/crates/sandgap/src/beliefs.rs
@@ -1,5 +1,5 @@
-//! Tells operators what the module believes of each backend: a log line when a limit has moved by more than a
-//! little, and a gauge for each backend in a file that a collector reads.
+//! Reports the estimated concurrency limit of each backend to operators: a log line when a limit has changed
+//! significantly, and a gauge for each backend in a file that a metrics collector reads.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -17,49 +17,58 @@
 use crate::diagnostics::Event;
 use crate::note;
 
-/// Ratio by which a limit must have moved since it was last logged: less is the daily up and down.
-const MOVED: f64 = 1.3;
-/// Lines at one look; the rest is logged at the next ones.
-const LINES: usize = 8;
-/// Between two writes of the file.
-const WRITE: Duration = Duration::from_secs(5);
+/// Ratio by which a limit must have changed since it was last logged; smaller changes are daily fluctuation.
+const LOG_RATIO: f64 = 1.3;
+/// Maximum log lines per update; the rest is logged at the next ones.
+const MAX_LINES: usize = 8;
+/// Interval between writes of the file.
+const WRITE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What was told of the module's beliefs.
+/// The state of the reports.
 pub struct Beliefs {
-    told: FxHashMap<BackendId, f64>,
-    file: Option<File>,
+    /// The limit of each backend as last logged.
+    last_logged: FxHashMap<BackendId, f64>,
+    file: Option<MetricsFile>,
 }
 
-struct File {
+/// The metrics file and the state of its writes.
+struct MetricsFile {
     path: PathBuf,
+    /// When the latest write started.
     written: Option<Instant>,
+    /// A write is in progress.
     busy: Arc<AtomicBool>,
+    /// The latest write failed.
     failing: Arc<AtomicBool>,
 }
 
 impl Beliefs {
-    /// Nothing told yet; gauges go to `file`, if there is one.
+    /// Creates the reports; gauges are written to `file`, if there is one.
     pub fn new(file: Option<PathBuf>) -> Self {
-        let file =
-            file.map(|path| File { path, written: None, busy: Arc::default(), failing: Arc::default() });
-        Beliefs { told: FxHashMap::default(), file }
+        let file = file.map(|path| MetricsFile {
+            path,
+            written: None,
+            busy: Arc::default(),
+            failing: Arc::default(),
+        });
+        Beliefs { last_logged: FxHashMap::default(), file }
     }
 
-    /// Looks at what is believed now. Bounded by the number of listed backends.
-    pub fn look(
+    /// Logs significant changes and writes the file if due. The work is bounded by the number of listed backends.
+    pub fn update(
         &mut self, now: Instant, beliefs: impl Iterator<Item = Belief>,
         counts: &[(Event, &'static str, u64)], address: impl Fn(BackendId) -> Option<SocketAddr>,
     ) {
-        let due = self.file.as_ref().is_some_and(|f| f.written.is_none_or(|at| now - at >= WRITE));
-        // Anew for each write: a recorder never forgets a gauge, and backends come and go for years.
+        let due = self.file.as_ref().is_some_and(|f| f.written.is_none_or(|at| now - at >= WRITE_INTERVAL));
+        // Created for each write: a recorder never drops a gauge, and over the years many backends are added and removed.
         let recorder = due.then(recorder);
         let (mut lines, mut listed) = (0, 0);
         for belief in beliefs {
             listed += 1;
             let Some(address) = address(belief.backend) else { continue };
-            if lines < LINES && self.is_news(&belief) {
+            if lines < MAX_LINES && self.should_log(&belief) {
                 lines += 1;
-                self.told.insert(belief.backend, belief.limit);
+                self.last_logged.insert(belief.backend, belief.limit);
                 note!(
                     "{address} is believed to hold {:.1} requests (its rating says {:.1}): {}",
                     belief.limit,
@@ -71,8 +80,8 @@
                 gauge(recorder, &belief, address);
             }
         }
-        if self.told.len() > 2 * listed {
-            self.told.clear(); // backends that have left; the rest is told again
+        if self.last_logged.len() > 2 * listed {
+            self.last_logged.clear(); // drops removed backends; the others are logged again
         }
         if let (Some(recorder), Some(file)) = (recorder, &mut self.file) {
             counts.iter().for_each(|(event, reason, count)| counter(&recorder, *event, reason, *count));
@@ -80,27 +89,27 @@
         }
     }
 
-    fn is_news(&self, belief: &Belief) -> bool {
-        let before = self.told.get(&belief.backend).copied();
-        let unmoved = belief.why == Why::Rating && before.is_none();
+    fn should_log(&self, belief: &Belief) -> bool {
+        let before = self.last_logged.get(&belief.backend).copied();
+        let is_unchanged = belief.why == Why::Rating && before.is_none();
         let ratio = belief.limit / before.unwrap_or(belief.rated);
-        !belief.trial && !unmoved && !(1.0 / MOVED..=MOVED).contains(&ratio)
+        !belief.trial && !is_unchanged && !(1.0 / LOG_RATIO..=LOG_RATIO).contains(&ratio)
     }
 }
 
 fn recorder() -> PrometheusRecorder {
     let recorder = PrometheusBuilder::new().build_recorder();
-    let about = "requests that a backend is believed to hold, of all proxies";
+    let about = "estimated concurrency limit of a backend, in requests of all proxies";
     recorder.describe_gauge("sandgap_backend_limit".into(), None, about.into());
     recorder.describe_gauge(
         "sandgap_backend_rated".into(),
         None,
-        "requests that its rating says it holds".into(),
+        "concurrency limit by the backend's rating, in requests".into(),
     );
     recorder.describe_counter(
         "sandgap_events_total".into(),
         None,
-        "closes, refusals, attempts, retries, denials and violations by their reasons".into(),
+        "closes, refusals, attempts, retries, denials, violations and other events, by reason".into(),
     );
     recorder
 }
@@ -120,9 +129,9 @@
     });
 }
 
-impl File {
-    /// Writes the file, whole or not at all, on a thread of its own: a slow disk holds up no request. While one
-    /// write is under way no other begins.
+impl MetricsFile {
+    /// Writes the file atomically on a separate thread, so that a slow disk delays no request. Skipped while another write
+    /// is in progress.
     fn write(&mut self, now: Instant, text: String) {
         self.written = Some(now);
         if self.busy.swap(true, Ordering::Relaxed) {
@@ -130,13 +139,16 @@
         }
         let (path, busy, failing) = (self.path.clone(), self.busy.clone(), self.failing.clone());
         tokio::task::spawn_blocking(move || {
-            let whole = path.with_extension("new");
-            let outcome = fs::write(&whole, text).and_then(|()| fs::rename(&whole, &path));
+            let temporary = path.with_extension("new");
+            let outcome = fs::write(&temporary, text).and_then(|()| fs::rename(&temporary, &path));
             let before = failing.swap(outcome.is_err(), Ordering::Relaxed);
             if let Err(e) = outcome
                 && !before
             {
-                note!(warn: "metrics can't be written to {}: {e}; mend [metrics] file", path.display());
+                note!(
+                    warn: "metrics can't be written to {}: {e}; correct the setting [metrics] file",
+                    path.display()
+                );
             }
             busy.store(false, Ordering::Relaxed);
         });
@@ -147,12 +159,12 @@
 mod tests {
     use super::*;
 
-    fn believed(backend: u64, limit: f64) -> Belief {
+    fn belief(backend: u64, limit: f64) -> Belief {
         Belief { backend: BackendId(backend), rated: 1.0, limit, trial: false, why: Why::Grew }
     }
 
     #[tokio::test]
-    async fn the_file_names_the_backends_that_are_listed_now_and_no_others() {
+    async fn the_file_contains_exactly_the_currently_listed_backends() {
         let path = std::env::temp_dir().join(format!("sandgap-beliefs-{}.prom", std::process::id()));
         let mut beliefs = Beliefs::new(Some(path.clone()));
         let address = |b: BackendId| Some(SocketAddr::from(([127, 0, 0, 1], b.0 as u16)));
@@ -160,7 +172,12 @@
         for (i, (backend, gone)) in [(7001, 7002), (7002, 7001)].into_iter().enumerate() {
             let file = beliefs.file.as_ref().expect("a file");
             let busy = file.busy.clone();
-            beliefs.look(start + 2 * WRITE * i as u32, [believed(backend, 12.0)].into_iter(), &[], address);
+            beliefs.update(
+                start + 2 * WRITE_INTERVAL * i as u32,
+                [belief(backend, 12.0)].into_iter(),
+                &[],
+                address,
+            );
             while busy.load(Ordering::Relaxed) {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
--- a/crates/sandgap/src/body/answer.rs
+++ b/crates/sandgap/src/body/answer.rs
@@ -1,4 +1,4 @@
-//! A backend's answer on its way to a client.
+//! The body of a backend's answer as it is sent to a client.
 
 use std::any::Any;
 use std::cell::Cell;
@@ -12,96 +12,101 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::{Broken, LONGEST_ANSWER, WHOLE};
-
-/// Where a long answer stands, for whoever looks after its backend.
-pub struct Progress {
-    last: Cell<Instant>,
-    waits: Cell<bool>,
-    /// Its length is told, and it is a long one.
-    told_long: bool,
-    /// Bytes that have been passed on.
+use super::{BodyError, MAX_ANSWER_BODY, WHOLE};
+
+/// Progress of a long answer, for the task that watches its backend.
+pub struct AnswerProgress {
+    /// When the backend last sent something or the wait for it began.
+    last_change: Cell<Instant>,
+    /// The next bytes are awaited from the backend.
+    awaits_backend: Cell<bool>,
+    /// The declared length is that of a long answer.
+    is_declared_long: bool,
+    /// Bytes passed on to the client.
     passed: Cell<u64>,
 }
 
-impl Progress {
-    /// How long the backend has been waited for at present.
+impl AnswerProgress {
+    /// How long the backend has currently been awaited.
     pub fn silence(&self) -> Duration {
-        if self.waits.get() { self.last.get().elapsed() } else { Duration::ZERO }
+        if self.awaits_backend.get() { self.last_change.get().elapsed() } else { Duration::ZERO }
     }
 
-    /// Whether nothing shows yet that it is a long one. Its last byte counts then, not its first.
+    /// Whether the answer may still turn out short. For a short answer the last byte counts, not the first.
     pub fn may_be_short(&self) -> bool {
-        !self.told_long && self.passed.get() <= WHOLE as u64
+        !self.is_declared_long && self.passed.get() <= WHOLE as u64
     }
 
-    /// Whether its backend owes the next byte, and not its reader.
+    /// Whether the next bytes are awaited from the backend, rather than held up by the client.
     pub fn waits_for_backend(&self) -> bool {
-        self.waits.get()
+        self.awaits_backend.get()
     }
 }
 
-/// A long answer as it comes.
-pub struct Stream {
+/// A long answer, streamed as it arrives.
+pub struct AnswerStream {
     first: Option<Bytes>,
     rest: Incoming,
+    /// Bytes that remain, if the length is declared.
     left: Option<u64>,
-    /// Why it has broken off, to be told once what came before has been written.
-    broken: Option<Broken>,
-    progress: Rc<Progress>,
+    /// The error that ended the answer, returned once the bytes before it have been written.
+    error: Option<BodyError>,
+    progress: Rc<AnswerProgress>,
     end: Option<oneshot::Sender<bool>>,
 }
 
-/// Tells whether a long answer has passed whole; an error where its reader has left.
-pub type End = oneshot::Receiver<bool>;
+/// Resolves to whether a long answer was passed on completely; fails if its client has disconnected.
+pub type AnswerEnd = oneshot::Receiver<bool>;
 
-impl Stream {
-    /// An answer of which `first` has come.
-    pub fn new(first: Bytes, rest: Incoming) -> (Self, Rc<Progress>, End) {
+impl AnswerStream {
+    /// Creates the stream of an answer of which `first` has been received.
+    pub fn new(first: Bytes, rest: Incoming) -> (Self, Rc<AnswerProgress>, AnswerEnd) {
         let left = rest.size_hint().exact().map(|rest| rest + first.len() as u64);
-        let progress = Rc::new(Progress {
-            last: Cell::new(Instant::now()),
-            waits: Cell::new(false),
-            told_long: left.is_some_and(|length| length > WHOLE as u64),
+        let progress = Rc::new(AnswerProgress {
+            last_change: Cell::new(Instant::now()),
+            awaits_backend: Cell::new(false),
+            is_declared_long: left.is_some_and(|length| length > WHOLE as u64),
             passed: Cell::new(0),
         });
         let (end, ended) = oneshot::channel();
         let first = Some(first).filter(|f| !f.is_empty());
         (
-            Stream { first, rest, left, broken: None, progress: progress.clone(), end: Some(end) },
+            AnswerStream { first, rest, left, error: None, progress: progress.clone(), end: Some(end) },
             progress,
             ended,
         )
     }
 
-    fn end(&mut self, whole: bool) {
+    fn end(&mut self, is_complete: bool) {
         if let Some(end) = self.end.take() {
-            let _ = end.send(whole); // nobody may look after it any more
+            let _ = end.send(is_complete); // the receiver may have been dropped
         }
     }
 
-    fn pass(&mut self, data: &Bytes) -> Result<(), Broken> {
+    /// Accounts for bytes passed on.
+    fn pass(&mut self, data: &Bytes) -> Result<(), BodyError> {
         let passed = self.progress.passed.get() + data.len() as u64;
         self.progress.passed.set(passed);
         self.left = self.left.map(|left| left.saturating_sub(data.len() as u64));
-        if passed > LONGEST_ANSWER {
+        if passed > MAX_ANSWER_BODY {
             self.end(false);
-            return Err("the answer is too long".into());
+            return Err("the response exceeds the maximum length".into());
         }
         Ok(())
     }
 
-    fn poll(&mut self, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll(&mut self, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(first) = self.first.take() {
             self.pass(&first)?;
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
-        if let Some(broken) = self.broken.take() {
-            return Poll::Ready(Some(Err(broken)));
+        if let Some(error) = self.error.take() {
+            return Poll::Ready(Some(Err(error)));
         }
         let frame = Pin::new(&mut self.rest).poll_frame(cx);
-        if self.progress.waits.replace(frame.is_pending()) != frame.is_pending() || frame.is_ready() {
-            self.progress.last.set(Instant::now());
+        if self.progress.awaits_backend.replace(frame.is_pending()) != frame.is_pending() || frame.is_ready()
+        {
+            self.progress.last_change.set(Instant::now());
         }
         Poll::Ready(match ready!(frame) {
             None => {
@@ -109,9 +114,9 @@
                 None
             }
             Some(Err(e)) => {
-                // Hyper writes what it has while it waits, and nothing more after an error.
+                // Hyper flushes its buffer while it waits, but writes nothing after an error.
                 self.end(false);
-                self.broken = Some(e.into());
+                self.error = Some(e.into());
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
@@ -125,42 +130,42 @@
     }
 }
 
-/// An answer's body on its way to a client.
-pub enum Answering {
-    /// A short one.
+/// The body of a response to a client.
+pub enum AnswerBody {
+    /// A short answer, buffered.
     Whole(Option<Bytes>),
-    /// A long one, and what is held until it has ended.
-    Long(Box<Stream>, Option<Box<dyn Any>>),
+    /// A long answer, and a guard held until it has ended.
+    Long(Box<AnswerStream>, Option<Box<dyn Any>>),
 }
 
-impl From<Bytes> for Answering {
+impl From<Bytes> for AnswerBody {
     fn from(bytes: Bytes) -> Self {
-        Answering::Whole(Some(bytes))
+        AnswerBody::Whole(Some(bytes))
     }
 }
 
-impl HttpBody for Answering {
+impl HttpBody for AnswerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Answering::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Answering::Long(stream, _) => stream.poll(cx),
+            AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            AnswerBody::Long(stream, _) => stream.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Answering::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Answering::Long(..) => false,
+            AnswerBody::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            AnswerBody::Long(..) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Answering::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
-            Answering::Long(stream, _) => stream.left.map_or_else(SizeHint::default, SizeHint::with_exact),
+            AnswerBody::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
+            AnswerBody::Long(stream, _) => stream.left.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
--- a/crates/sandgap/src/body/mod.rs
+++ b/crates/sandgap/src/body/mod.rs
@@ -1,5 +1,5 @@
-//! Bodies that pass on as they come. Each side is asked for the next chunk only when the other has taken the one before,
-//! so that whoever is slower sets the pace and a long body takes no more room than a short one.
+//! Streaming of message bodies. The next chunk is read from one side only when the other side has taken the previous
+//! one (backpressure), so that a long body needs no more memory than a short one.
 
 mod answer;
 mod pace;
@@ -7,21 +7,21 @@
 
 use bytes::Bytes;
 
-pub use answer::{Answering, End, Progress, Stream};
+pub use answer::{AnswerBody, AnswerEnd, AnswerProgress, AnswerStream};
 pub use pace::Pace;
-pub use upload::{ReadAheadBudget, Sending, Trouble, Upload};
+pub use upload::{BodyFault, ReadAheadBudget, RequestBody, Upload};
 
-/// Bytes up to which a body is held whole and may be sent again, by the protocol.
+/// Maximum size in bytes of a body that is buffered and may be sent again, by the protocol.
 pub const WHOLE: usize = 64 << 10;
-/// Longest body of a request.
-pub const LONGEST: u64 = 32 << 20;
-/// Longest answer: twice the longest that backends give; more is spoilt.
-pub const LONGEST_ANSWER: u64 = 64 << 20;
+/// Maximum length of a request's body in bytes.
+pub const MAX_REQUEST_BODY: u64 = 32 << 20;
+/// Maximum length of an answer in bytes: twice the longest that backends give. Anything longer is an error.
+pub const MAX_ANSWER_BODY: u64 = 64 << 20;
 
-/// Why a body has not passed.
-pub type Broken = Box<dyn std::error::Error + Send + Sync>;
+/// Why a body was not transferred completely.
+pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Makes one piece of chunks. Most bodies come in one, which is not copied.
+/// Joins chunks. Most bodies arrive in a single chunk, which is not copied.
 pub fn join(mut chunks: Vec<Bytes>) -> Bytes {
     if chunks.len() > 1 { chunks.concat().into() } else { chunks.pop().unwrap_or_default() }
 }
--- a/crates/sandgap/src/body/upload.rs
+++ b/crates/sandgap/src/body/upload.rs
@@ -1,4 +1,4 @@
-//! A client's long request on its way to a backend.
+//! The body of a client's long request as it is sent to a backend.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -11,47 +11,50 @@
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-use super::{Broken, LONGEST, Pace};
+use super::{BodyError, MAX_REQUEST_BODY, Pace};
 use crate::view::View;
 
-/// What is wrong with a long request.
+/// Why a request's body could not be received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// It is longer than [`LONGEST`].
+pub enum BodyFault {
+    /// It is longer than [`MAX_REQUEST_BODY`].
     TooLong,
-    /// It came too slowly.
+    /// It arrived too slowly.
     TooSlow,
-    /// Its connection or its form broke.
+    /// Its connection failed, or it is malformed.
     Malformed,
 }
 
-/// Bytes that are read ahead into one piece of memory.
-const PIECE: usize = 64 << 10;
-/// What the systems of both sides hold of a connection at most, by their usual settings (tcp(7), tcp_wmem and tcp_rmem): with
-/// more than that still to come, a client can't have written its last byte.
-const MOST_UNREAD: u64 = 10 << 20;
-/// Span between looks for a client that has stopped sending.
-const LOOK: Duration = Duration::from_millis(100);
-/// Largest part of a body that comes at once: what the parser's buffer holds.
-const LARGEST_PART: usize = 16 << 10;
-
-/// Memory that all requests together may read ahead into, while nobody asks for the rest of their bodies.
+/// Size of a read-ahead buffer in bytes.
+const BUFFER_BYTES: usize = 64 << 10;
+/// Maximum bytes in the socket buffers of both sides by the usual system settings (tcp(7), tcp_wmem and tcp_rmem). If
+/// more than that is still to come, the client can't have written its last byte.
+const MAX_UNREAD_BYTES: u64 = 10 << 20;
+/// Interval between checks for a client that has stopped sending.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum size of a part of a body that is received at once: the size of the parser's buffer.
+const MAX_PART_BYTES: usize = 16 << 10;
+
+/// Read-ahead memory shared by all requests whose backends are not yet reading the rest of their bodies.
 pub struct ReadAheadBudget {
-    /// Pieces that are left.
-    left: Cell<usize>,
-    /// Those that found none left; each stands here once.
+    /// Number of free buffers.
+    free_buffers: Cell<usize>,
+    /// Tasks waiting for a free buffer, each listed once.
     waiting: RefCell<Vec<Waker>>,
 }
 
 impl ReadAheadBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `bytes`.
     pub fn new(bytes: usize) -> Rc<Self> {
-        Rc::new(ReadAheadBudget { left: Cell::new(bytes / PIECE), waiting: RefCell::default() })
+        Rc::new(ReadAheadBudget {
+            free_buffers: Cell::new(bytes / BUFFER_BYTES),
+            waiting: RefCell::default(),
+        })
     }
 
     fn poll_take(&self, cx: &mut Context) -> Poll<()> {
-        if let Some(left) = self.left.get().checked_sub(1) {
-            self.left.set(left);
+        if let Some(left) = self.free_buffers.get().checked_sub(1) {
+            self.free_buffers.set(left);
             return Poll::Ready(());
         }
         let mut waiting = self.waiting.borrow_mut();
@@ -61,307 +64,309 @@
         Poll::Pending
     }
 
-    fn give_back(&self, pieces: usize) {
-        self.left.set(self.left.get() + pieces);
-        if pieces > 0 {
+    fn release(&self, buffers: usize) {
+        self.free_buffers.set(self.free_buffers.get() + buffers);
+        if buffers > 0 {
             self.waiting.take().into_iter().for_each(Waker::wake);
         }
     }
 }
 
-/// What has been read of a body before it was asked for.
+/// The part of a body that was read before an attempt requested it.
 struct ReadAhead {
-    pieces: VecDeque<BytesMut>,
+    buffers: VecDeque<BytesMut>,
     budget: Rc<ReadAheadBudget>,
 }
 
 impl ReadAhead {
-    /// Waits for room for the next part, whatever its size.
+    /// Waits until there is room for a next part of any size.
     fn poll_room(&mut self, cx: &mut Context) -> Poll<()> {
-        if self.pieces.back().is_none_or(|piece| piece.capacity() - piece.len() < LARGEST_PART) {
+        if self.buffers.back().is_none_or(|buffer| buffer.capacity() - buffer.len() < MAX_PART_BYTES) {
             ready!(self.budget.poll_take(cx));
-            self.pieces.push_back(BytesMut::with_capacity(PIECE));
+            self.buffers.push_back(BytesMut::with_capacity(BUFFER_BYTES));
         }
         Poll::Ready(())
     }
 
     fn push(&mut self, data: &[u8]) {
-        if let Some(piece) = self.pieces.back_mut() {
-            piece.extend_from_slice(data);
+        if let Some(buffer) = self.buffers.back_mut() {
+            buffer.extend_from_slice(data);
         }
     }
 
     fn pop(&mut self) -> Option<Bytes> {
-        let piece = self.pieces.pop_front()?;
-        self.budget.give_back(1);
-        Some(piece.freeze())
+        let buffer = self.buffers.pop_front()?;
+        self.budget.release(1);
+        Some(buffer.freeze())
     }
 }
 
 impl Drop for ReadAhead {
     fn drop(&mut self) {
-        self.budget.give_back(self.pieces.len());
+        self.budget.release(self.buffers.len());
     }
 }
 
-/// Told when a request's last byte came.
+/// Called with the time at which a request's last byte arrived.
 type OnReceived = Box<dyn FnOnce(Instant)>;
 
-/// A long request's body: its first part, kept until more has gone out, and the rest as it comes.
+/// A long request's body: its first part, kept until more has been sent, and the rest, streamed as it arrives.
 pub struct Upload {
     first: RefCell<Bytes>,
     ahead: RefCell<ReadAhead>,
     rest: RefCell<Incoming>,
-    /// Tells since when what is read may have stood unread.
+    /// Gives the earliest time at which bytes read now may have arrived.
     view: Rc<View>,
     pace: Cell<Pace>,
     length: Option<u64>,
-    /// An attempt waits for the next part at present, and is woken once that has come.
-    asked: Cell<bool>,
-    /// Its end has been read.
-    read: Cell<bool>,
-    /// When its last byte came from the client, at the latest.
-    received: Cell<Option<Instant>>,
-    /// All that has come is read, and more is awaited.
-    starved: Cell<bool>,
-    /// Since when its last byte may stand unread for want of room.
+    /// An attempt is waiting for the next part, and is woken once it arrives.
+    is_requested: Cell<bool>,
+    /// The end of the body has been read.
+    is_end_read: Cell<bool>,
+    /// Latest time at which the last byte may have arrived from the client.
+    received_at: Cell<Option<Instant>>,
+    /// Everything received has been read, and more is awaited.
+    awaits_client: Cell<bool>,
+    /// Since when its last byte may have been unread for lack of read-ahead memory.
     unread_since: Cell<Option<Instant>>,
-    /// Told once when its last byte has come.
+    /// Called once when the last byte has arrived.
     on_received: RefCell<Option<OnReceived>>,
-    spent: Cell<bool>,
-    ended: Cell<bool>,
-    trouble: Cell<Option<Trouble>>,
+    /// More than the kept first part has been sent, or the body has failed.
+    is_spent: Cell<bool>,
+    /// The complete body has been passed to an attempt.
+    has_ended: Cell<bool>,
+    fault: Cell<Option<BodyFault>>,
 }
 
 impl Upload {
-    /// A body of which `first` has come, at that pace; its whole length, where that is told.
+    /// Creates a body of which `first` has been received, at that pace; `length` is the declared total length.
     pub fn new(
         first: Bytes, rest: Incoming, pace: Pace, length: Option<u64>, budget: Rc<ReadAheadBudget>,
         view: Rc<View>,
     ) -> Rc<Self> {
         Rc::new(Upload {
             first: RefCell::new(first),
-            ahead: RefCell::new(ReadAhead { pieces: VecDeque::new(), budget }),
+            ahead: RefCell::new(ReadAhead { buffers: VecDeque::new(), budget }),
             rest: RefCell::new(rest),
             view,
             pace: Cell::new(pace),
             length,
-            asked: Cell::new(false),
-            read: Cell::new(false),
-            received: Cell::default(),
-            starved: Cell::default(),
+            is_requested: Cell::new(false),
+            is_end_read: Cell::new(false),
+            received_at: Cell::default(),
+            awaits_client: Cell::default(),
             unread_since: Cell::default(),
             on_received: RefCell::default(),
-            spent: Cell::new(false),
-            ended: Cell::new(false),
-            trouble: Cell::default(),
+            is_spent: Cell::new(false),
+            has_ended: Cell::new(false),
+            fault: Cell::default(),
         })
     }
 
-    /// Whether more than the part that is kept has gone out, or never will.
+    /// Whether it can't be sent again: more than the kept part has been sent, or the body has failed.
     pub fn is_spent(&self) -> bool {
-        self.spent.get()
+        self.is_spent.get()
     }
 
-    /// Whether all of it has been handed on.
+    /// Whether the complete body has been passed to an attempt.
     pub fn has_ended(&self) -> bool {
-        self.ended.get()
+        self.has_ended.get()
     }
 
-    /// Whether all of it has come in.
+    /// Whether the complete body has been received.
     pub fn is_read(&self) -> bool {
-        self.read.get() || self.length.is_some_and(|length| self.pace.get().passed() >= length)
+        self.is_end_read.get() || self.length.is_some_and(|length| self.pace.get().passed() >= length)
     }
 
-    /// When its last byte came from the client, if it has.
+    /// When its last byte arrived from the client, if it has.
     pub fn received_at(&self) -> Option<Instant> {
-        self.received.get()
+        self.received_at.get()
     }
 
-    /// Its last byte came at `at`.
+    /// Records that its last byte arrived at `at`; only the first call counts.
     pub fn set_received(&self, at: Instant) {
-        if self.received.get().is_none() {
-            self.received.set(Some(at));
-            if let Some(tell) = self.on_received.take() {
-                tell(at);
+        if self.received_at.get().is_none() {
+            self.received_at.set(Some(at));
+            if let Some(callback) = self.on_received.take() {
+                callback(at);
             }
         }
     }
 
-    /// Has `tell` told when its last byte has come, at once if it has.
-    pub fn on_received(&self, tell: impl FnOnce(Instant) + 'static) {
-        match self.received.get() {
-            Some(at) => tell(at),
-            None => drop(self.on_received.replace(Some(Box::new(tell)))),
+    /// Calls `callback` when its last byte has arrived, or immediately if it has.
+    pub fn on_received(&self, callback: impl FnOnce(Instant) + 'static) {
+        match self.received_at.get() {
+            Some(at) => callback(at),
+            None => drop(self.on_received.replace(Some(Box::new(callback)))),
         }
     }
 
-    /// The rest is not read for want of room: the last byte may have come from now on.
+    /// Reading stops for lack of memory: from now on the last byte may have arrived unread.
     fn pause(&self) {
-        self.starved.set(false);
+        self.awaits_client.set(false);
         let left = self.length.map_or(0, |length| length.saturating_sub(self.pace.get().passed()));
-        if left <= MOST_UNREAD && self.unread_since.get().is_none() {
+        if left <= MAX_UNREAD_BYTES && self.unread_since.get().is_none() {
             self.unread_since.set(Some(Instant::now()));
         }
     }
 
-    /// Its whole length, where that is told.
+    /// Declared total length, if any.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// What is wrong with it, if anything.
-    pub fn trouble(&self) -> Option<Trouble> {
-        self.trouble.get()
+    /// Why the body could not be received, if it failed.
+    pub fn fault(&self) -> Option<BodyFault> {
+        self.fault.get()
     }
 
-    fn fail(&self, trouble: Trouble) -> Broken {
-        self.spent.set(true);
-        self.trouble.set(Some(trouble));
-        "the request's body has not come whole".into()
+    fn fail(&self, fault: BodyFault) -> BodyError {
+        self.is_spent.set(true);
+        self.fault.set(Some(fault));
+        "the request body was not received completely".into()
     }
 
-    /// The next part from the connection; `None` at the end.
-    fn poll_part(&self, cx: &mut Context) -> Poll<Result<Option<Bytes>, Trouble>> {
+    /// Reads the next part from the connection; `None` at the end.
+    fn poll_part(&self, cx: &mut Context) -> Poll<Result<Option<Bytes>, BodyFault>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx) else {
-                self.unread_since.set(None); // all that has come is read
-                self.starved.set(true);
-                self.waits_until();
+                self.unread_since.set(None); // everything received has been read
+                self.awaits_client.set(true);
+                self.start_wait();
                 return Poll::Pending;
             };
             let Some(frame) = frame else {
-                self.read.set(true);
+                self.is_end_read.set(true);
                 self.set_received(self.unread_since.get().unwrap_or_else(|| self.view.arrived_at()));
                 return Poll::Ready(Ok(None));
             };
-            let Ok(frame) = frame else { return Poll::Ready(Err(Trouble::Malformed)) };
-            let Ok(data) = frame.into_data() else { continue }; // trailers may be left out (RFC 9110, 6.5.1)
+            let Ok(frame) = frame else { return Poll::Ready(Err(BodyFault::Malformed)) };
+            let Ok(data) = frame.into_data() else { continue }; // trailers may be discarded (RFC 9110, 6.5.1)
             let mut pace = self.pace.get();
-            pace.moved(Instant::now(), data.len());
+            pace.received(Instant::now(), data.len());
             self.pace.set(pace);
-            self.starved.set(false);
+            self.awaits_client.set(false);
             if self.is_read() {
                 self.set_received(self.unread_since.get().unwrap_or_else(|| self.view.arrived_at()));
             }
-            let fits = pace.passed() <= LONGEST;
-            return Poll::Ready(if fits { Ok(Some(data)) } else { Err(Trouble::TooLong) });
+            let fits = pace.passed() <= MAX_REQUEST_BODY;
+            return Poll::Ready(if fits { Ok(Some(data)) } else { Err(BodyFault::TooLong) });
         }
     }
 
-    /// Reads on while no attempt waits for the next part, be it that there is none or that its backend is slow, within the
-    /// budget: the client's time counts from its last byte, and an end of its sending stands behind what nobody has read;
-    /// the system tells of that only once it fits its own buffer.
+    /// Reads ahead within the budget while no attempt is waiting for the next part, because there is no attempt or its
+    /// backend is slow. The client's timeout counts from its last byte, and a disconnect is seen only behind unread bytes;
+    /// the system reports that only once these fit its own buffer.
     pub fn poll_read_ahead(&self, cx: &mut Context) {
         let mut ahead = self.ahead.borrow_mut();
-        while !self.is_read() && !self.asked.get() && self.trouble.get().is_none() {
+        while !self.is_read() && !self.is_requested.get() && self.fault.get().is_none() {
             if ahead.poll_room(cx).is_pending() {
                 return self.pause();
             }
             match self.poll_part(cx) {
                 Poll::Ready(Ok(Some(data))) => ahead.push(&data),
-                Poll::Ready(Err(trouble)) => self.trouble.set(Some(trouble)),
+                Poll::Ready(Err(fault)) => self.fault.set(Some(fault)),
                 Poll::Ready(Ok(None)) | Poll::Pending => return,
             }
         }
     }
 
-    /// The client is waited for; returns until when.
-    fn waits_until(&self) -> Instant {
+    /// Starts or continues a wait for the client; returns its deadline.
+    fn start_wait(&self) -> Instant {
         let mut pace = self.pace.get();
         let until = pace.blocked(Instant::now());
         self.pace.set(pace);
         until
     }
 
-    /// Waits until the client has stopped sending for too long, whether or not an attempt waits for more.
+    /// Waits until the client has sent nothing for too long, whether or not an attempt is waiting for more.
     pub async fn stopped(&self) {
         loop {
-            sleep(LOOK).await;
-            if self.starved.get() && !self.is_read() && self.waits_until() <= Instant::now() {
-                return self.trouble.set(Some(Trouble::TooSlow));
+            sleep(CHECK_INTERVAL).await;
+            if self.awaits_client.get() && !self.is_read() && self.start_wait() <= Instant::now() {
+                return self.fault.set(Some(BodyFault::TooSlow));
             }
         }
     }
 
-    /// The next chunk after the first part.
+    /// Returns the next chunk after the first part to an attempt.
     fn poll_rest(
         &self, cx: &mut Context, timer: &mut Option<Pin<Box<Sleep>>>,
-    ) -> Poll<Option<Result<Bytes, Broken>>> {
-        self.asked.set(false);
-        if let Some(trouble) = self.trouble.get() {
-            return Poll::Ready(Some(Err(self.fail(trouble))));
+    ) -> Poll<Option<Result<Bytes, BodyError>>> {
+        self.is_requested.set(false);
+        if let Some(fault) = self.fault.get() {
+            return Poll::Ready(Some(Err(self.fail(fault))));
         }
         if let Some(data) = self.ahead.borrow_mut().pop() {
-            self.hand_on();
+            self.mark_spent();
             return Poll::Ready(Some(Ok(data)));
         }
-        if self.read.get() {
-            self.ended.set(true);
+        if self.is_end_read.get() {
+            self.has_ended.set(true);
             return Poll::Ready(None);
         }
         let Poll::Ready(part) = self.poll_part(cx) else {
-            let until = self.waits_until();
+            let until = self.start_wait();
             let timer = timer.get_or_insert_with(|| Box::pin(sleep_until(until)));
             timer.as_mut().reset(until);
-            self.asked.set(true);
+            self.is_requested.set(true);
             ready!(timer.as_mut().poll(cx));
-            self.asked.set(false);
-            return Poll::Ready(Some(Err(self.fail(Trouble::TooSlow))));
+            self.is_requested.set(false);
+            return Poll::Ready(Some(Err(self.fail(BodyFault::TooSlow))));
         };
         *timer = None;
         Poll::Ready(match part {
             Ok(None) => {
-                self.ended.set(true);
+                self.has_ended.set(true);
                 None
             }
             Ok(Some(data)) => {
-                self.hand_on();
+                self.mark_spent();
                 Some(Ok(data))
             }
-            Err(trouble) => Some(Err(self.fail(trouble))),
+            Err(fault) => Some(Err(self.fail(fault))),
         })
     }
 
-    /// More than the first part goes out: it can't go out again.
-    fn hand_on(&self) {
-        self.spent.set(true);
+    /// More than the first part is sent: the body can't be sent again, and the first part is freed.
+    fn mark_spent(&self) {
+        self.is_spent.set(true);
         self.first.take();
     }
 }
 
-/// A long request's body as one attempt asks for it.
-pub struct Draw(Rc<Upload>);
+/// An attempt's reader of a long request's body.
+pub struct UploadReader(Rc<Upload>);
 
-impl Drop for Draw {
+impl Drop for UploadReader {
     fn drop(&mut self) {
-        self.0.asked.set(false);
+        self.0.is_requested.set(false);
     }
 }
 
-/// A request's body on its way to a backend.
-pub enum Sending {
-    /// A short one.
+/// The body of a request to a backend.
+pub enum RequestBody {
+    /// A short body, buffered.
     Whole(Option<Bytes>),
-    /// A long one; it goes out once.
-    Long(Draw, Option<Bytes>, Option<Pin<Box<Sleep>>>),
+    /// A long body, which can be sent only once.
+    Long(UploadReader, Option<Bytes>, Option<Pin<Box<Sleep>>>),
 }
 
-impl Sending {
-    /// A long one, from its start.
+impl RequestBody {
+    /// A long body, from its start.
     pub fn long(upload: &Rc<Upload>) -> Self {
-        Sending::Long(Draw(upload.clone()), Some(upload.first.borrow().clone()), None)
+        RequestBody::Long(UploadReader(upload.clone()), Some(upload.first.borrow().clone()), None)
     }
 }
 
-impl HttpBody for Sending {
+impl HttpBody for RequestBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Sending::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Sending::Long(upload, first, timer) => match first.take().filter(|f| !f.is_empty()) {
+            RequestBody::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            RequestBody::Long(upload, first, timer) => match first.take().filter(|f| !f.is_empty()) {
                 Some(first) => Poll::Ready(Some(Ok(Frame::data(first)))),
                 None => upload.0.poll_rest(cx, timer).map(|next| next.map(|data| data.map(Frame::data))),
             },
@@ -369,13 +374,15 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Sending::Whole(None))
+        matches!(self, RequestBody::Whole(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Sending::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
-            Sending::Long(upload, ..) => upload.0.length.map_or_else(SizeHint::default, SizeHint::with_exact),
+            RequestBody::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
+            RequestBody::Long(upload, ..) => {
+                upload.0.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+            }
         }
     }
 }
--- a/crates/sandgap/src/diagnostics.rs
+++ b/crates/sandgap/src/diagnostics.rs
@@ -1,8 +1,8 @@
-//! What happened, for whoever asks why: counters of each close, retry, refusal, denial and violation by its reason, and
-//! where wanted a trace, a JSON object a line with the ids of requests.
+//! Diagnostics: counters of closes, retries, refusals, denials, violations and so on by reason, and an optional trace with
+//! one JSON object per line that contains request ids.
 //!
-//! Counting costs a few nanoseconds an event. The trace is off unless `SANDGAP_TRACE` names its file; a file that can't
-//! be written any more ends the trace and nothing else.
+//! Counting costs a few nanoseconds per event. The trace is off unless `SANDGAP_TRACE` names its file; a write error ends
+//! the trace and affects nothing else.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,34 +16,34 @@
 
 use crate::note;
 
-/// Bytes of a trace: about a million events; more are left out.
-const LONGEST_TRACE: usize = 256 << 20;
+/// Maximum size of a trace in bytes: about a million events. Later events are dropped.
+const MAX_TRACE_BYTES: usize = 256 << 20;
 
-/// What is counted, each by its reason.
+/// Events that are counted by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Event {
-    /// A client's connection has ended.
+    /// A client's connection has closed.
     Close,
-    /// A client was answered with something else than a backend's answer.
+    /// A client got a response of the proxy instead of a backend's answer.
     Refusal,
     /// An attempt has ended, by its outcome.
     Attempt,
     /// A further attempt has begun, by the outcome of the one before.
     Retry,
-    /// An attempt was held back, by what forbade it.
+    /// An attempt was not sent, by the rule that forbade it.
     Denial,
-    /// A rule was nearly broken, by this program's own fault: see [`sandgap_driver::permit::Violation`].
+    /// A safety rule was nearly violated by a bug in this program, see [`sandgap_driver::permit::Violation`].
     Violation,
-    /// An answer came far too late: the process stood still, or something held it up.
+    /// An answer was given far too late, because the process stood still or the answer was delayed.
     Late,
-    /// The process has come to another state.
+    /// The process has entered another state.
     State,
-    /// The process stood still, by how long at least.
+    /// The process stood still, by range of length.
     Standstill,
 }
 
 impl Event {
-    /// A word for logs and counters.
+    /// Name for logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Event::Close => "close",
@@ -62,32 +62,33 @@
 /// Counters and the trace of one process.
 pub struct Diagnostics {
     start: Instant,
-    /// Bounded by the reasons, which are words of this program.
+    /// Bounded by the number of reasons, which are constants of this program.
     counts: RefCell<BTreeMap<(Event, &'static str), u64>>,
     trace: RefCell<Option<Trace>>,
-    /// Whether there is one; asked on the path of each request.
-    traces: Cell<bool>,
+    /// Whether there is a trace; checked for each event of a request.
+    is_tracing: Cell<bool>,
 }
 
 struct Trace {
     file: File,
+    /// Bytes that may still be written.
     left: usize,
 }
 
 impl Diagnostics {
-    /// Counters at zero; events are traced to `trace`, if there is one.
+    /// Creates zeroed counters; events are traced to the file `trace`, if there is one.
     pub fn new(trace: Option<&Path>) -> Rc<Self> {
         let trace = trace.and_then(|path| match File::options().create(true).append(true).open(path) {
-            Ok(file) => Some(Trace { file, left: LONGEST_TRACE }),
+            Ok(file) => Some(Trace { file, left: MAX_TRACE_BYTES }),
             Err(e) => {
-                note!(warn: "no trace at {}: {e}", path.display());
+                note!(warn: "trace file {} can't be opened, tracing is off: {e}", path.display());
                 None
             }
         });
         Rc::new(Diagnostics {
             start: Instant::now(),
             counts: RefCell::default(),
-            traces: Cell::new(trace.is_some()),
+            is_tracing: Cell::new(trace.is_some()),
             trace: RefCell::new(trace),
         })
     }
@@ -97,7 +98,7 @@
         *self.counts.borrow_mut().entry((event, reason)).or_default() += 1;
     }
 
-    /// How often an event was counted, whatever its reason.
+    /// Total count of an event over all reasons.
     pub fn total(&self, event: Event) -> u64 {
         self.counts.borrow().iter().filter(|((e, _), _)| *e == event).map(|(_, n)| n).sum()
     }
@@ -110,15 +111,15 @@
     /// All counters on one line.
     pub fn summary(&self) -> String {
         let counts = self.counts();
-        let words = counts.iter().map(|(event, reason, n)| {
+        let entries = counts.iter().map(|(event, reason, n)| {
             format!("{}.{}={n}", event.name(), reason.replace(|c: char| !c.is_ascii_alphanumeric(), "_"))
         });
-        words.collect::<Vec<_>>().join(" ")
+        entries.collect::<Vec<_>>().join(" ")
     }
 
     /// Writes an event into the trace, if there is one; `fields` is an object.
     pub fn trace(&self, event: &'static str, fields: impl FnOnce() -> Value) {
-        if !self.traces.get() {
+        if !self.is_tracing.get() {
             return;
         }
         let mut line = fields();
@@ -126,8 +127,8 @@
         line["ms"] = json!(self.start.elapsed().as_secs_f64() * 1000.0);
         let mut trace = self.trace.borrow_mut();
         if let Some(e) = trace.as_mut().and_then(|trace| trace.write(&line).err()) {
-            note!(warn: "the trace ends: {e}");
-            (*trace, _) = (None, self.traces.set(false));
+            note!(warn: "trace file can't be written, tracing stops: {e}");
+            (*trace, _) = (None, self.is_tracing.set(false));
         }
     }
 }
@@ -137,7 +138,7 @@
         let text = format!("{line}\n");
         let left = self.left.checked_sub(text.len()).ok_or(io::ErrorKind::FileTooLarge)?;
         self.left = left;
-        self.file.write_all(text.as_bytes()) // a line at once, so that a kill leaves whole ones
+        self.file.write_all(text.as_bytes()) // one write per line, so that a kill leaves no partial line
     }
 }
 
--- a/crates/sandgap/src/diagnostics/tests.rs
+++ b/crates/sandgap/src/diagnostics/tests.rs
@@ -12,11 +12,11 @@
         "close.idle=2 close.too_many_connections=1 violation.send_of_unknown=1"
     );
     assert_eq!((diagnostics.total(Event::Close), diagnostics.total(Event::Retry)), (3, 0));
-    diagnostics.trace("sent", || panic!("nothing is worded where nothing is traced"));
+    diagnostics.trace("sent", || panic!("fields are not built without a trace"));
 }
 
 #[test]
-fn a_trace_is_an_object_a_line() {
+fn a_trace_has_one_json_object_per_line() {
     let path = std::env::temp_dir().join(format!("sandgap-trace-{}", std::process::id()));
     let diagnostics = Diagnostics::new(Some(&path));
     diagnostics.trace("sent", || json!({"request": 7}));
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn a_full_disk_ends_the_trace_alone() {
+fn a_full_disk_ends_only_the_trace() {
     let diagnostics = Diagnostics::new(Some(Path::new("/dev/full")));
     diagnostics.trace("sent", || json!({}));
-    diagnostics.trace("sent", || panic!("it has ended"));
+    diagnostics.trace("sent", || panic!("the trace has ended"));
     assert!(Diagnostics::new(Some(Path::new("/nowhere/at/all"))).summary().is_empty());
 }
--- a/crates/sandgap/src/driver.rs
+++ b/crates/sandgap/src/driver.rs
@@ -20,7 +20,7 @@
 use crate::discovery;
 use crate::drains::Drains;
 use crate::event::{
-    Answer, AnswerBy, Arrival, Attempt, Back, Endpoint, Exchange, Inbox, Input, Lease, Reply, Report,
+    Answer, AnswerBy, Arrival, Attempt, BackendPool, Endpoint, Exchange, Inbox, Input, Lease, Reply, Report,
     StatusQuery, StatusReply,
 };
 use crate::note;
@@ -38,7 +38,7 @@
     /// The queue to which attempts report.
     pub inbox: Inbox,
     /// The upstream side of each protocol.
-    pub backs: Vec<Rc<dyn Back>>,
+    pub backs: Vec<Rc<dyn BackendPool>>,
     /// The other proxies, if messages may be sent to them.
     pub peers: Option<Rc<Peers>>,
     /// Current address of the discovery service, if there is one.
@@ -144,7 +144,11 @@
     }
 
     fn violation(&mut self, violation: Violation, request: RequestId) {
-        note!(error: "internal error: a safety rule would have been violated: {} in request {}", violation.name(), request.0);
+        note!(
+            error: "internal error: a safety rule would have been violated: {} in request {}",
+            violation.name(),
+            request.0
+        );
         self.parts.diagnostics.count(Event::Violation, violation.name());
         let fields = || json!({"request": request.0, "reason": violation.name()});
         self.parts.diagnostics.trace("violation", fields);
@@ -206,12 +210,12 @@
             }
             self.core.fire(self.now());
             let now = Instant::now();
-            self.core.effects.parts.view.renew(now);
+            self.core.effects.parts.view.mark_caught_up(now);
             if now >= sweep {
                 self.core.effects.parts.backs.iter().for_each(|back| back.sweep());
-                let believed = self.core.decider().beliefs();
+                let limits = self.core.decider().beliefs();
                 let counts = self.core.effects.parts.diagnostics.counts();
-                self.beliefs.look(now.into_std(), believed, &counts, |b| self.core.address(b));
+                self.beliefs.update(now.into_std(), limits, &counts, |b| self.core.address(b));
                 sweep = now + SWEEP_INTERVAL;
             }
         }
@@ -254,12 +258,12 @@
         let StatusQuery { at, measured, cohort, answer } = query;
         let id = |name: &str| BackendId(number_of(name));
         let sights = at.iter().map(|name| (name.clone(), self.core.held_at(id(name)))).collect();
-        let believed: FxHashMap<BackendId, f64> = match measured.is_empty() {
+        let limits: FxHashMap<BackendId, f64> = match measured.is_empty() {
             true => FxHashMap::default(),
             false => self.core.decider().beliefs().map(|b| (b.backend, b.limit)).collect(),
         };
         let holds = |name: String| {
-            let limit = believed.get(&id(&name))?;
+            let limit = limits.get(&id(&name))?;
             Some((name, (limit.clamp(0.0, 1e9) * 1000.0) as u64))
         };
         let holds = measured.into_iter().filter_map(holds).collect();
@@ -299,9 +303,9 @@
             }
             Input::Received(id, at) => self.core.received(id, at.saturating_duration_since(self.start)),
             Input::Uploaded(id) => self.core.uploaded(now, id),
-            Input::End(at) => self.core.end_by(at.saturating_duration_since(self.start)),
+            Input::Shutdown(at) => self.core.end_by(at.saturating_duration_since(self.start)),
             Input::Started { request, attempt, reply } => self.core.started(now, request, attempt, reply),
-            Input::Gone(id) => {
+            Input::Disconnected(id) => {
                 let diagnostics = &self.core.effects.parts.diagnostics;
                 diagnostics.trace("client_left", || json!({"request": id.0}));
                 self.core.client_disconnected(now, id);
--- a/crates/sandgap/src/event.rs
+++ b/crates/sandgap/src/event.rs
@@ -18,9 +18,9 @@
     /// A request has been read, except for the rest of a long body.
     Request(Box<Arrival>),
     /// The client of a request has disconnected.
-    Gone(RequestId),
+    Disconnected(RequestId),
     /// The process shuts down: every accepted request is answered by this time.
-    End(Instant),
+    Shutdown(Instant),
     /// The last byte of a long request arrived from its client.
     Received(RequestId, Instant),
     /// A long request has been sent completely.
@@ -187,7 +187,7 @@
 pub type Answer = sandgap_driver::Answer<Reply>;
 
 /// The operations that the driver needs from the upstream side of a protocol.
-pub trait Back {
+pub trait BackendPool {
     /// Closes the pooled connections of an endpoint that accepts no new requests.
     fn retire(&self, endpoint: &Endpoint);
     /// Closes expired idle connections; called about once a second.
--- a/crates/sandgap/src/front/answer.rs
+++ b/crates/sandgap/src/front/answer.rs
@@ -16,7 +16,7 @@
 use super::admission::{AwaitingAnswer, Client};
 use super::head::{OpenId, ParsedHead, target};
 use super::receive::{error_response, receive};
-use crate::body::{self, Answering, Trouble, Upload};
+use crate::body::{self, AnswerBody, BodyFault, Upload};
 use crate::event::{Answer, Arrival, Inbox, Input};
 use crate::upstream::{Forwarded, Outgoing, Payload, Reply, strip};
 
@@ -24,7 +24,7 @@
     /// Answers a request whose head arrived at `arrived`.
     pub(super) async fn respond(
         self: &Rc<Self>, request: Request<Incoming>, arrived: Instant, client: &Rc<Client>,
-    ) -> Response<Answering> {
+    ) -> Response<AnswerBody> {
         if request.uri().path() == "/up" {
             let up = self.serving.is_up();
             return plain(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
@@ -34,7 +34,7 @@
             Ok(parsed) => parsed,
             Err((status, text)) => return plain(status, text),
         };
-        let taken = match parsed.taken.transpose() {
+        let taken = match parsed.acceptance.transpose() {
             Ok(taken) => taken,
             Err(wait) => return refused(Some(wait.as_secs_f64() * 1000.0)),
         };
@@ -43,16 +43,16 @@
         if head.headers.contains_key(header::TRANSFER_ENCODING) && !client.has_chunked_framing_only() {
             return plain(StatusCode::LENGTH_REQUIRED, "the length must be told once");
         }
-        if body.size_hint().lower() > body::LONGEST {
+        if body.size_hint().lower() > body::MAX_REQUEST_BODY {
             return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
         }
-        let Some(open) = OpenId::take(&self.ids, &parsed.id) else {
+        let Some(open_id) = OpenId::take(&self.open_ids, &parsed.id) else {
             return plain(StatusCode::CONFLICT, "a request with this id is open");
         };
         let received = match receive(body, &self.read_ahead, self.upstreams.view()).await {
             Ok(received) => received,
-            Err(trouble) => {
-                let (status, text) = error_response(trouble);
+            Err(fault) => {
+                let (status, text) = error_response(fault);
                 return plain(status, text);
             }
         };
@@ -67,10 +67,10 @@
         if let Some(upload) = upload.as_ref().filter(|u| u.is_read()) {
             upload.set_received(arrived);
         }
-        if upload.is_some() && self.uploading.get() >= self.uploads {
+        if upload.is_some() && self.long_requests.get() >= self.max_long_requests {
             return plain(StatusCode::SERVICE_UNAVAILABLE, "too many long requests");
         }
-        let uploading = upload.as_ref().map(|_| CountGuard::new(self, |f| &f.uploading));
+        let uploading = upload.as_ref().map(|_| CountGuard::new(self, |f| &f.long_requests));
         let mut headers = head.headers;
         strip(&mut headers);
         let lease = taken.and_then(|taken| {
@@ -100,7 +100,7 @@
             exchange: Rc::new(Forwarded {
                 message,
                 upstreams: self.upstreams.clone(),
-                hold: (open, generation, uploading),
+                hold: (open_id, generation, uploading),
             }),
             lease,
             answer,
@@ -116,28 +116,29 @@
             biased;
             answer = answered => answer,
             () = stopped(upload.as_deref()) => {
-                let (status, text) = error_response(Trouble::TooSlow);
+                let (status, text) = error_response(BodyFault::TooSlow);
                 return plain(status, text); // the guard reports the disconnect to the driver
             }
         };
         drop(awaiting);
         disconnect_guard.is_waiting = false;
-        if let (Some(trouble), Ok(Answer::Refused(_) | Answer::Failed)) =
-            (upload.and_then(|u| u.trouble()), &answer)
+        if let (Some(fault), Ok(Answer::Refused(_) | Answer::Failed)) =
+            (upload.and_then(|u| u.fault()), &answer)
         {
-            let (status, text) = error_response(trouble);
+            let (status, text) = error_response(fault);
             return plain(status, text);
         }
         match answer {
             Ok(Answer::Served(reply)) => {
                 let Ok(reply) = reply.downcast::<Reply>() else {
-                    return plain(StatusCode::BAD_GATEWAY, "failed"); // the reply is not of an HTTP backend
+                    // The reply was not made by the HTTP upstream.
+                    return plain(StatusCode::BAD_GATEWAY, "failed");
                 };
                 let body = match reply.body {
                     // The connection stays busy until the answer has been sent.
-                    Answering::Long(stream, _) => {
-                        let count_guard = CountGuard::new(self, |f| &f.answering);
-                        Answering::Long(
+                    AnswerBody::Long(stream, _) => {
+                        let count_guard = CountGuard::new(self, |f| &f.long_answers);
+                        AnswerBody::Long(
                             stream,
                             Some(Box::new((self.busy_until_dropped(client), count_guard))),
                         )
@@ -163,7 +164,7 @@
 }
 
 /// A refusal, with `Retry-After` if the delay in ms is known.
-fn refused(retry_after_ms: Option<f64>) -> Response<Answering> {
+fn refused(retry_after_ms: Option<f64>) -> Response<AnswerBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "try again");
     if let Some(retry_after) = retry_after_ms.and_then(|ms| format!("{:.3}", ms / 1000.0).parse().ok()) {
         response.headers_mut().insert(header::RETRY_AFTER, retry_after);
@@ -202,7 +203,7 @@
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.is_waiting {
-            self.inbox.put(Input::Gone(self.id));
+            self.inbox.put(Input::Disconnected(self.id));
         }
     }
 }
@@ -212,7 +213,7 @@
 pub(super) struct Reason(pub(super) &'static str);
 
 /// A response generated by the proxy.
-pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<Answering> {
+pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
     let mut response = Response::new(Bytes::from_static(text.as_bytes()).into());
     *response.status_mut() = status;
     if !text.is_empty() {
--- a/crates/sandgap/src/front/connection.rs
+++ b/crates/sandgap/src/front/connection.rs
@@ -24,7 +24,7 @@
     CLOSE_CHECK_INTERVAL, FIRST_BYTE_GRACE, HEAD_TIMEOUT, LINGER, MAX_BUSY_PART, MAX_HEAD_BYTES,
     READER_TIMEOUT,
 };
-use crate::body::Answering;
+use crate::body::AnswerBody;
 use crate::diagnostics::Event;
 use crate::socket::Socket;
 
@@ -42,7 +42,8 @@
             let (front, client, stream) = (self.clone(), client.clone(), stream.clone());
             async move {
                 if client.stage.get() == Stage::Idle {
-                    client.head_deadline.set(Instant::now() + HEAD_TIMEOUT); // its head arrived together with the previous request
+                    // Its head arrived together with the previous request.
+                    client.head_deadline.set(Instant::now() + HEAD_TIMEOUT);
                 }
                 client.is_request_read.set(false);
                 let is_http10 = request.version() == Version::HTTP_10;
@@ -61,11 +62,11 @@
                 if let Some(Reason(reason)) = response.extensions().get() {
                     front.diagnostics.count(Event::Refusal, reason);
                 }
-                let is_long = matches!(response.body(), Answering::Long(..));
+                let is_long = matches!(response.body(), AnswerBody::Long(..));
                 let has_length = response.body().size_hint().exact().is_some();
                 client.is_close_delimited.set(is_http10 && is_long && !has_length);
                 if is_long {
-                    stream.wait_for_reader(READER_TIMEOUT);
+                    stream.set_reader_timeout(READER_TIMEOUT);
                 }
                 // After a malformed request the start of the next one is unknown.
                 let is_out_of_sync =
@@ -93,7 +94,8 @@
             tokio::select! {
                 biased; // received data takes precedence over a request to close
                 outcome = connection.as_mut() => break outcome,
-                () = &mut disconnected => return "client_left", // dropping the service future cancels its request
+                // Dropping the service future cancels the request.
+                () = &mut disconnected => return "client_left",
                 () = client.close.notified() => {
                     let (stage, reason) = (client.stage.get(), client.close_reason.get());
                     match closing::decide(stage, reason, || stream.is_quiet()) {
@@ -123,7 +125,7 @@
         };
         // For a close-delimited answer only a reset shows the client that it is incomplete.
         if outcome.is_err() && client.is_close_delimited.get() {
-            stream.reset_at_close();
+            stream.set_reset_on_close();
             return "answer_cut";
         }
         // A request that crosses the close of an idle connection must not be read and dropped: only a reset shows the
@@ -193,7 +195,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        Poll::Ready(self.stream.end_sending())
+        Poll::Ready(self.stream.shutdown_write())
     }
 }
 
@@ -202,13 +204,13 @@
 /// has read the answer. If it was, any further bytes are a request that crosses the close: they stay unread, so that
 /// the close resets the connection and the client knows that the request was not accepted.
 async fn linger(stream: &Socket, client: &Client) {
-    if stream.end_sending().is_err() {
+    if stream.shutdown_write().is_err() {
         return;
     }
     let is_out_of_sync = client.read_ahead_overflowed.get() || !client.read_ahead_bytes.borrow().is_empty();
     if client.is_request_read.get() && !is_out_of_sync {
         stream.readable().await;
     } else {
-        stream.drain(LINGER.1).await;
+        stream.discard_input(LINGER.1).await;
     }
 }
--- a/crates/sandgap/src/front/head.rs
+++ b/crates/sandgap/src/front/head.rs
@@ -48,7 +48,7 @@
     pub(super) patience: Duration,
     pub(super) generation: Rc<Generation>,
     /// If rules are agreed: whether the request may be accepted now, or how long its client should wait.
-    pub(super) taken: Option<Result<Taken, Duration>>,
+    pub(super) acceptance: Option<Result<Taken, Duration>>,
 }
 
 impl Frontend {
@@ -56,7 +56,7 @@
     pub(super) fn check(
         &self, method: &Method, uri: &Uri, headers: &HeaderMap,
     ) -> Result<ParsedHead, (StatusCode, &'static str)> {
-        let bad = |text| (StatusCode::BAD_REQUEST, text);
+        let bad_request = |text| (StatusCode::BAD_REQUEST, text);
         let name = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
         let generation = self.generations.borrow().current().clone();
         let (class, rules) = generation.class(name).ok_or((StatusCode::NOT_FOUND, "no such class"))?;
@@ -67,22 +67,22 @@
         let protocol_headers = ProtocolHeaders::read(headers)?;
         let keyed = matches!(rules.effect, Effect::Keyed { .. });
         if keyed != protocol_headers.key.is_some() && *method == Method::POST {
-            return Err(bad("Idempotency-Key does not fit the class"));
+            return Err(bad_request("Idempotency-Key does not fit the class"));
         }
         let id = protocol_headers.id.filter(|id| !id.is_empty());
-        let id = id.ok_or(bad("X-Request-ID is missing"))?.to_owned();
+        let id = id.ok_or(bad_request("X-Request-ID is missing"))?.to_owned();
         let tenant = match protocol_headers.tenant {
             _ if !generation.has_tenants() => None,
-            Some(name) => Some(generation.tenant(name).ok_or(bad("no such tenant"))?),
-            None => return Err(bad("X-Tenant-Id is missing")),
+            Some(name) => Some(generation.tenant(name).ok_or(bad_request("no such tenant"))?),
+            None => return Err(bad_request("X-Tenant-Id is missing")),
         };
-        let patience = number(protocol_headers.timeout)?.ok_or(bad("X-Timeout is missing"))?;
+        let patience = number(protocol_headers.timeout)?.ok_or(bad_request("X-Timeout is missing"))?;
         let patience = Duration::from_secs_f64(patience.min(rules.deadline / 1000.0));
         let query = uri.query().unwrap_or_default();
         let sid = query.split('&').find_map(|p| p.strip_prefix("sid="));
         let hint = number(protocol_headers.cost)?.map(|us| us / 1000.0);
         let key = sid.map(|s| Key(number_of(s)));
-        let taken = self.rules.get().map(|rules| rules.take(name));
+        let acceptance = self.rules.get().map(|rules| rules.take(name));
         let effect = rules.effect;
         Ok(ParsedHead {
             id,
@@ -93,7 +93,7 @@
             hint,
             patience,
             generation: generation.clone(),
-            taken,
+            acceptance,
         })
     }
 }
@@ -111,7 +111,7 @@
 impl<'a> ProtocolHeaders<'a> {
     /// Collects them in one pass, without a hash lookup per header.
     fn read(headers: &'a HeaderMap) -> Result<Self, (StatusCode, &'static str)> {
-        let bad = (StatusCode::BAD_REQUEST, "a header is malformed or stands twice");
+        let bad_request = (StatusCode::BAD_REQUEST, "a header is malformed or stands twice");
         let mut protocol_headers = ProtocolHeaders::default();
         for (name, value) in headers {
             let slot = match name.as_str() {
@@ -122,9 +122,9 @@
                 "x-cost" => &mut protocol_headers.cost,
                 _ => continue,
             };
-            let value = value.to_str().map_err(|_| bad)?;
+            let value = value.to_str().map_err(|_| bad_request)?;
             if slot.replace(value).is_some() {
-                return Err(bad);
+                return Err(bad_request);
             }
         }
         Ok(protocol_headers)
--- a/crates/sandgap/src/front/mod.rs
+++ b/crates/sandgap/src/front/mod.rs
@@ -48,15 +48,15 @@
     /// Whether the proxy accepts clients.
     serving: Rc<Serving>,
     /// Next connection, request or sequence number.
-    next: Cell<u64>,
-    /// Connections: all (`open`) and those with an open request (`busy`); for the others see `by_stage`.
-    open: Cell<usize>,
+    next_number: Cell<u64>,
+    /// Number of connections: all, and those with an open request (`busy`); for the others see `by_stage`.
+    open_connections: Cell<usize>,
     busy: Cell<usize>,
     /// Long answers being sent, and long requests in progress.
-    answering: Cell<usize>,
-    uploading: Cell<usize>,
+    long_answers: Cell<usize>,
+    long_requests: Cell<usize>,
     /// Maximum number of long requests in progress.
-    uploads: usize,
+    max_long_requests: usize,
     /// Shared read-ahead budget of long requests.
     read_ahead: Rc<ReadAheadBudget>,
     /// See [`crate::config::Config::grace`].
@@ -67,7 +67,7 @@
     last_shortage: Cell<Option<Instant>>,
     /// Connections without an open request, by stage, oldest first.
     by_stage: RefCell<[BTreeMap<u64, Rc<Client>>; MIN_STAGE_AGE.len()]>,
-    ids: OpenIds,
+    open_ids: OpenIds,
     /// Notified when a connection, a long request or a long answer ends.
     released: Notify,
     diagnostics: Rc<Diagnostics>,
@@ -98,18 +98,18 @@
             upstreams,
             budget: Cell::new(budget),
             serving,
-            next: Cell::new(0),
-            open: Cell::new(0),
+            next_number: Cell::new(0),
+            open_connections: Cell::new(0),
             busy: Cell::new(0),
-            answering: Cell::new(0),
-            uploading: Cell::new(0),
-            uploads: uploads.at_once,
+            long_answers: Cell::new(0),
+            long_requests: Cell::new(0),
+            max_long_requests: uploads.at_once,
             read_ahead: ReadAheadBudget::new(uploads.read_ahead_bytes),
             grace,
             queue_empty_at: Cell::new(Instant::now()),
             last_shortage: Cell::default(),
             by_stage: RefCell::default(),
-            ids: OpenIds::default(),
+            open_ids: OpenIds::default(),
             released: Notify::new(),
             diagnostics,
             rules: OnceCell::new(),
@@ -146,7 +146,8 @@
             loop {
                 sleep(SWEEP_INTERVAL).await;
                 sweeper.sweep();
-                while sweeper.open.get() > sweeper.max_connections() && sweeper.make_room(false) {}
+                while sweeper.open_connections.get() > sweeper.max_connections() && sweeper.make_room(false) {
+                }
             }
         });
         tokio::pin!(stop);
@@ -161,7 +162,7 @@
         }
         let longest = Duration::from_secs_f64(self.generations.borrow().longest().min(1e6) / 1000.0);
         let stopped_at = self.upstreams.view().arrived_at();
-        self.inbox.put(Input::End(stopped_at + longest.min(self.grace) + LAST_ANSWER_AFTER));
+        self.inbox.put(Input::Shutdown(stopped_at + longest.min(self.grace) + LAST_ANSWER_AFTER));
         // If another process accepts from the same queue, nothing in it is lost. That is a newer process, or the previous
         // one while this one has not served yet.
         let other_process_accepts = !self.serving.accepts();
@@ -183,8 +184,9 @@
         let end = Instant::now() + longest + FINISH_TIME;
         while self.unfinished() > 0 {
             // A long answer that has started is not cut off while the process may run.
-            let end = if self.answering.get() > 0 { end.max(Instant::now() + SWEEP_INTERVAL) } else { end };
-            if timeout_at(end, self.released.notified()).await.is_err() && self.answering.get() == 0 {
+            let end =
+                if self.long_answers.get() > 0 { end.max(Instant::now() + SWEEP_INTERVAL) } else { end };
+            if timeout_at(end, self.released.notified()).await.is_err() && self.long_answers.get() == 0 {
                 return note!(warn: "shutdown: ended with client connections still open");
             }
         }
@@ -195,7 +197,7 @@
         // Over the budget, one connection is evicted for each new one; if none can be, the new one waits for a short time.
         // A longer wait would age all new connections until their answers are too late.
         let max_connections = self.max_connections();
-        if self.open.get() >= max_connections {
+        if self.open_connections.get() >= max_connections {
             let is_overdue = self.queue_empty_at.get().elapsed() >= MAX_QUEUE_WAIT;
             if self.make_room(is_overdue) || !is_overdue {
                 let _ = timeout(ACCEPT_RETRY_DELAY, self.released.notified()).await;
@@ -219,18 +221,18 @@
         };
         match next {
             Ok((stream, _)) => {
-                if self.open.get() >= max_connections * 7 / 8 {
+                if self.open_connections.get() >= max_connections * 7 / 8 {
                     self.make_room(false);
                 }
                 let client = Client::new(self.next_number(), self.queue_empty_at.get());
-                self.set_open(self.open.get() + 1);
+                self.set_open(self.open_connections.get() + 1);
                 self.busy.set(self.busy.get() + 1);
                 self.set_stage(&client, Stage::Silent);
                 tokio::task::spawn_local(async move {
                     self.connection(Socket::new(stream), &client).await;
                     self.set_stage(&client, Stage::Busy);
                     self.busy.set(self.busy.get() - 1);
-                    self.set_open(self.open.get() - 1);
+                    self.set_open(self.open_connections.get() - 1);
                     self.released.notify_waiters();
                 });
             }
@@ -272,19 +274,19 @@
     /// Sets the socket budget of clients and backends together: during an upgrade two processes share it.
     pub fn set_budget(&self, budget: usize) {
         self.budget.set(budget);
-        self.set_open(self.open.get());
+        self.set_open(self.open_connections.get());
         self.upstreams.shrink(budget / 4);
     }
 
     /// Records the number of connections, and leaves the remaining sockets to backends.
     fn set_open(&self, open: usize) {
-        self.open.set(open);
+        self.open_connections.set(open);
         self.upstreams.set_available(self.budget.get().saturating_sub(open));
     }
 
     /// Next unique number.
     fn next_number(&self) -> u64 {
-        self.next.replace(self.next.get() + 1)
+        self.next_number.replace(self.next_number.get() + 1)
     }
 }
 
--- a/crates/sandgap/src/front/receive.rs
+++ b/crates/sandgap/src/front/receive.rs
@@ -8,7 +8,7 @@
 use hyper::body::{Body as _, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-use crate::body::{self, Pace, ReadAheadBudget, Trouble, Upload};
+use crate::body::{self, BodyFault, Pace, ReadAheadBudget, Upload};
 use crate::upstream::Payload;
 use crate::view::View;
 
@@ -20,11 +20,11 @@
 }
 
 /// The status and text for a client whose body failed.
-pub(super) fn error_response(trouble: Trouble) -> (StatusCode, &'static str) {
-    match trouble {
-        Trouble::TooLong => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-        Trouble::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body came too late"),
-        Trouble::Malformed => (StatusCode::BAD_REQUEST, "the body is malformed"),
+pub(super) fn error_response(fault: BodyFault) -> (StatusCode, &'static str) {
+    match fault {
+        BodyFault::TooLong => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
+        BodyFault::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body came too late"),
+        BodyFault::Malformed => (StatusCode::BAD_REQUEST, "the body is malformed"),
     }
 }
 
@@ -32,18 +32,18 @@
 /// too large.
 pub(super) async fn receive(
     mut incoming: Incoming, read_ahead: &Rc<ReadAheadBudget>, view: &Rc<View>,
-) -> Result<Received, Trouble> {
+) -> Result<Received, BodyFault> {
     let length = incoming.size_hint().exact();
     let mut pace = Pace::default();
     let mut chunks: Vec<Bytes> = Vec::new();
     loop {
         let until = pace.blocked(Instant::now());
-        let frame = timeout_at(until, incoming.frame()).await.map_err(|_| Trouble::TooSlow)?;
+        let frame = timeout_at(until, incoming.frame()).await.map_err(|_| BodyFault::TooSlow)?;
         let Some(frame) = frame else {
             return Ok(Received { body: Payload::Short(body::join(chunks)), has_waited: pace.has_waited() });
         };
-        let Ok(data) = frame.map_err(|_| Trouble::Malformed)?.into_data() else { continue };
-        pace.moved(Instant::now(), data.len());
+        let Ok(data) = frame.map_err(|_| BodyFault::Malformed)?.into_data() else { continue };
+        pace.received(Instant::now(), data.len());
         chunks.push(data);
         if pace.passed() > body::WHOLE as u64 {
             let (budget, view) = (read_ahead.clone(), view.clone());
--- a/crates/sandgap/src/retry.rs
+++ b/crates/sandgap/src/retry.rs
@@ -1,4 +1,4 @@
-//! Calls for a system's resources that may be short for a moment: descriptors, buffers, memory.
+//! Retries of system calls that fail because descriptors, buffers or memory are temporarily short.
 
 use std::io;
 use std::time::Duration;
@@ -8,40 +8,40 @@
 
 use crate::note;
 
-/// The first wait, and the longest: each is twice the one before.
-const WAIT: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(200));
-/// Further calls. With the waits between them they take about 20 s, well under the 30 s that a start may take.
-const RETRIES: u32 = 100;
+/// Initial and maximum delay of the exponential backoff, which doubles each time.
+const BACKOFF: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(200));
+/// Number of retries. With the delays they take about 20 s, well under the 30 s that a start may take.
+const MAX_RETRIES: u32 = 100;
 
-/// Whether an error may pass by itself within moments (accept(2), socket(2)): what is short is short for all processes.
+/// Whether an error may disappear by itself shortly (accept(2), socket(2)): the resource is shared by all processes.
 pub fn is_transient(error: &io::Error) -> bool {
-    const PASSING: [Errno; 6] =
+    const TRANSIENT: [Errno; 6] =
         [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::AGAIN, Errno::INTR];
-    PASSING.iter().any(|e| error.raw_os_error() == Some(e.raw_os_error()))
+    TRANSIENT.iter().any(|e| error.raw_os_error() == Some(e.raw_os_error()))
 }
 
-/// Whether a connection could not be had for a reason that lies with this machine and not with whoever is called
-/// (connect(2)): also no port is left, or no route is there.
+/// Whether a connection failed for a reason on this machine and not at the peer (connect(2)): a transient shortage, no
+/// free port, or no route.
 pub fn is_local(error: &io::Error) -> bool {
     const LOCAL: [Errno; 2] = [Errno::ADDRNOTAVAIL, Errno::NETUNREACH];
     is_transient(error) || LOCAL.iter().any(|e| error.raw_os_error() == Some(e.raw_os_error()))
 }
 
-/// The waits before further calls.
-fn waits() -> impl Iterator<Item = Duration> {
-    (0..RETRIES).map(|n| (WAIT.0 * 2_u32.saturating_pow(n.min(16))).min(WAIT.1))
+/// The delays before the retries.
+fn delays() -> impl Iterator<Item = Duration> {
+    (0..MAX_RETRIES).map(|n| (BACKOFF.0 * 2_u32.saturating_pow(n.min(16))).min(BACKOFF.1))
 }
 
-/// Makes a call again until it succeeds, for as long as what it lacks may come.
+/// Repeats a call until it succeeds, fails with an error that is not transient, or the retries are used up.
 ///
 /// # Errors
-/// The call's last one.
+/// The last error of the call.
 pub async fn until_had<T>(what: &str, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for wait in waits() {
+    for delay in delays() {
         match call() {
             Err(e) if is_transient(&e) => {
                 note!(warn: "{what}: {e}; it is tried again");
-                sleep(wait).await;
+                sleep(delay).await;
             }
             outcome => return outcome,
         }
@@ -49,14 +49,14 @@
     call()
 }
 
-/// The same where no runtime is there yet.
+/// Blocking variant, for use before the runtime is started.
 ///
 /// # Errors
-/// The call's last one.
+/// The last error of the call.
 pub fn until_had_blocking<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for wait in waits() {
+    for delay in delays() {
         match call() {
-            Err(e) if is_transient(&e) => std::thread::sleep(wait),
+            Err(e) if is_transient(&e) => std::thread::sleep(delay),
             outcome => return outcome,
         }
     }
@@ -68,13 +68,13 @@
     use super::*;
 
     #[test]
-    fn what_is_short_is_asked_for_again_and_what_is_wrong_is_told() {
+    fn transient_errors_are_retried_and_others_returned() {
         let mut left = 3;
         let had = until_had_blocking(|| {
             left -= 1;
             if left > 0 { Err(Errno::NFILE.into()) } else { Ok(left) }
         });
-        assert_eq!(had.expect("had at last"), 0);
+        assert_eq!(had.expect("the call succeeds in the end"), 0);
         let mut calls = 0;
         let wrong: io::Result<()> = until_had_blocking(|| {
             calls += 1;
@@ -84,13 +84,13 @@
     }
 
     #[test]
-    fn all_waits_together_stay_well_under_what_a_start_may_take() {
-        let all: Duration = waits().sum();
-        assert!(Duration::from_secs(15) < all && all < Duration::from_secs(22), "{all:?}");
+    fn the_total_delay_is_well_under_the_time_limit_of_a_start() {
+        let total: Duration = delays().sum();
+        assert!(Duration::from_secs(15) < total && total < Duration::from_secs(22), "{total:?}");
     }
 
     #[test]
-    fn a_refusal_is_the_other_sides_and_a_missing_port_is_this_machines() {
+    fn a_refused_connection_is_not_local_and_a_missing_port_is() {
         assert!(!is_local(&Errno::CONNREFUSED.into()) && !is_local(&Errno::HOSTUNREACH.into()));
         assert!(is_local(&Errno::ADDRNOTAVAIL.into()) && is_local(&Errno::NOBUFS.into()));
     }
--- a/crates/sandgap/src/serving.rs
+++ b/crates/sandgap/src/serving.rs
@@ -1,27 +1,27 @@
-//! Whether the proxy takes clients: the one owner of that state. `/up`, connections, the admin address and SIGTERM
-//! read it here, and nothing else keeps a copy.
+//! Whether the proxy accepts clients. This is the single owner of that state: `/up`, connections, the admin address and
+//! the SIGTERM handler read it here, and nothing else keeps a copy.
 
 use std::cell::Cell;
 
 use tokio::sync::watch;
 
-/// What the proxy is doing.
+/// The proxy's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It has no list of backends yet.
+    /// No list of backends is known yet.
     Starting,
-    /// It takes clients.
+    /// Clients are accepted.
     Serving,
-    /// Another process accepts from the same queue: what is here is finished.
+    /// A newer process accepts from the same queue; this one finishes its open requests.
     HandedOver,
-    /// Staff have emptied it; whoever still comes is served.
+    /// Drained by staff or by the fleet; requests that still arrive are served.
     Drained,
-    /// It ends once all that it took is answered. Nothing leads out of it.
+    /// The process ends once all accepted requests are answered. This state is final.
     Stopping,
 }
 
 impl State {
-    /// A word for logs and counters.
+    /// Name for logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             State::Starting => "starting",
@@ -33,37 +33,39 @@
     }
 }
 
-/// The state and those who wait for its changes.
+/// The state and the subscribers to its changes.
 pub struct Serving {
-    /// The module has a list to serve from.
+    /// A list of backends is known.
     listed: Cell<bool>,
+    /// Drained by staff.
     drained: Cell<bool>,
-    /// The fleet has taken it out.
+    /// Drained by the fleet.
     out: Cell<bool>,
     stopping: Cell<bool>,
-    /// A newer process accepts.
-    handed: Cell<bool>,
-    /// An older process accepts until this one is ready.
-    held: Cell<bool>,
+    /// A newer process accepts connections.
+    handed_over: Cell<bool>,
+    /// An older process accepts connections until this one is ready.
+    held_back: Cell<bool>,
     changes: watch::Sender<()>,
 }
 
 impl Default for Serving {
     fn default() -> Self {
-        let fact = || Cell::new(false);
-        let (listed, drained, out, stopping, handed, held) = (fact(), fact(), fact(), fact(), fact(), fact());
-        Serving { listed, drained, out, stopping, handed, held, changes: watch::Sender::new(()) }
+        let flag = || Cell::new(false);
+        let (listed, drained, out, stopping, handed_over, held_back) =
+            (flag(), flag(), flag(), flag(), flag(), flag());
+        Serving { listed, drained, out, stopping, handed_over, held_back, changes: watch::Sender::new(()) }
     }
 }
 
 impl Serving {
-    /// What the proxy is doing.
+    /// The current state.
     pub fn state(&self) -> State {
         if self.stopping.get() {
             State::Stopping
         } else if self.drained.get() || self.out.get() {
             State::Drained
-        } else if self.handed.get() {
+        } else if self.handed_over.get() {
             State::HandedOver
         } else if self.listed.get() {
             State::Serving
@@ -72,83 +74,83 @@
         }
     }
 
-    /// Whether the front should send clients here.
-    /// Where a newer process serves at the same address, they come to it.
+    /// Whether the load balancer should send clients here. If a newer process serves the same address, they reach that
+    /// process.
     pub fn is_up(&self) -> bool {
         matches!(self.state(), State::Serving | State::HandedOver)
     }
 
-    /// Whether this process could serve, drained or not.
+    /// Whether this process could serve, regardless of drains.
     pub fn is_ready(&self) -> bool {
         self.listed.get() && !self.stopping.get()
     }
 
-    /// Whether connections end with their next answer.
+    /// Whether connections are closed with their next answer.
     pub fn sends_away(&self) -> bool {
         matches!(self.state(), State::Drained | State::Stopping | State::HandedOver)
     }
 
-    /// Whether this process takes connections from the queue.
+    /// Whether this process accepts connections from the queue.
     pub fn accepts(&self) -> bool {
-        !self.handed.get() && (self.listed.get() || !self.held.get())
+        !self.handed_over.get() && (self.listed.get() || !self.held_back.get())
     }
 
-    /// Leaves the queue to an older process until this one is ready.
+    /// Leaves the accept queue to an older process until this one is ready.
     pub fn hold(&self) {
-        self.held.set(true);
+        self.held_back.set(true);
     }
 
-    /// The older process has gone: the queue is this one's, ready or not.
+    /// Takes over the accept queue, ready or not, because the older process has ended.
     pub fn release(&self) {
-        self.set(&self.held, false);
+        self.set(&self.held_back, false);
     }
 
-    /// A newer process has begun to accept, or has gone again.
+    /// Records that a newer process has started to accept connections, or has ended again.
     pub fn hand_over(&self, to_newer: bool) {
-        self.set(&self.handed, to_newer);
+        self.set(&self.handed_over, to_newer);
     }
 
-    /// Whether a newer process accepts.
+    /// Whether a newer process accepts connections.
     pub fn is_handed_over(&self) -> bool {
-        self.handed.get()
+        self.handed_over.get()
     }
 
-    /// There is a list to serve from.
+    /// Records that a list of backends is known.
     pub fn listed(&self) {
         self.set(&self.listed, true);
     }
 
-    /// Sends clients away until [`Serving::resume`]; again is harmless, and once stopping it changes nothing.
+    /// Drains the proxy until [`Serving::resume`]. Idempotent, and without effect once stopping.
     pub fn drain(&self) {
         self.set(&self.drained, true);
     }
 
-    /// Takes clients again.
+    /// Ends a drain by staff.
     pub fn resume(&self) {
         self.set(&self.drained, false);
     }
 
-    /// The fleet takes it out, or lets it take clients again; what staff do on this one alone is apart from that.
+    /// Starts or ends a drain by the fleet, which is independent of drains by staff on this proxy.
     pub fn order_out(&self, out: bool) {
         self.set(&self.out, out);
     }
 
-    /// Whether it sends clients away by the fleet's order.
+    /// Whether it sends clients away on the fleet's order.
     pub fn is_out(&self) -> bool {
         self.out.get() && self.sends_away()
     }
 
-    /// Sends clients away for good.
+    /// Starts the shutdown; final.
     pub fn stop(&self) {
         self.set(&self.stopping, true);
     }
 
-    /// Tells of changes from now on.
+    /// Subscribes to changes of the state.
     pub fn changes(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
 
-    /// Whether there is a list to serve from.
+    /// Whether a list of backends is known.
     pub fn has_list(&self) -> bool {
         self.listed.get()
     }
@@ -157,13 +159,14 @@
     pub async fn ready(&self) {
         let mut changes = self.changes();
         while !self.is_ready() {
-            let _ = changes.changed().await; // its sender is borrowed
+            let _ = changes.changed().await; // can't fail: `self` owns the sender
         }
     }
 
-    fn set(&self, fact: &Cell<bool>, to: bool) {
+    /// Sets a flag and notifies subscribers if the state or [`Serving::accepts`] changes.
+    fn set(&self, flag: &Cell<bool>, to: bool) {
         let before = (self.state(), self.accepts());
-        fact.set(to);
+        flag.set(to);
         if (self.state(), self.accepts()) != before {
             self.changes.send_replace(());
         }
@@ -175,7 +178,7 @@
     use super::*;
 
     #[test]
-    fn resume_undoes_what_drain_did_and_nothing_undoes_stopping() {
+    fn resume_ends_a_drain_and_stopping_is_final() {
         let serving = Serving::default();
         assert_eq!(serving.state(), State::Starting);
         serving.resume();
@@ -195,7 +198,7 @@
     }
 
     #[test]
-    fn what_the_fleet_orders_and_what_staff_do_here_are_apart() {
+    fn drains_by_the_fleet_and_by_staff_are_independent() {
         let serving = Serving::default();
         serving.listed();
         serving.order_out(true);
@@ -209,7 +212,7 @@
     }
 
     #[test]
-    fn of_two_processes_one_accepts() {
+    fn one_of_two_processes_accepts() {
         let (old, new) = (Serving::default(), Serving::default());
         old.listed();
         new.hold();
@@ -217,15 +220,18 @@
         new.listed();
         old.hand_over(true);
         assert!(!old.accepts() && new.accepts());
-        assert!(old.is_up() && old.sends_away(), "the address is up, its clients are sent to the newer one");
+        assert!(old.is_up() && old.sends_away(), "the address is up; clients reach the newer process");
         old.hand_over(false);
-        assert!(old.accepts() && !old.sends_away(), "the newer one has died: as if nothing had been");
+        assert!(
+            old.accepts() && !old.sends_away(),
+            "the newer process has died: the state before the handover is back"
+        );
         old.drain();
         old.hand_over(true);
         assert_eq!(old.state(), State::Drained);
         let successor = Serving::default();
         successor.hold();
         successor.release();
-        assert!(successor.accepts() && !successor.is_up(), "nobody else accepts, as after any start");
+        assert!(successor.accepts() && !successor.is_up(), "no other process accepts, as after any start");
     }
 }
--- a/crates/sandgap/src/socket.rs
+++ b/crates/sandgap/src/socket.rs
@@ -58,17 +58,17 @@
     ///
     /// # Errors
     /// The system's error if the connection has already ended.
-    pub fn end_sending(&self) -> io::Result<()> {
+    pub fn shutdown_write(&self) -> io::Result<()> {
         SockRef::from(&*self.0).shutdown(Shutdown::Write)
     }
 
     /// Closes the connection once the peer has acknowledged no written data for `timeout` (TCP user timeout, RFC 5482).
-    pub fn wait_for_reader(&self, timeout: std::time::Duration) {
+    pub fn set_reader_timeout(&self, timeout: std::time::Duration) {
         let _ = SockRef::from(&*self.0).set_tcp_user_timeout(Some(timeout)); // on failure it waits longer
     }
 
     /// Makes the close reset the connection, so that the peer sees that the data is incomplete.
-    pub fn reset_at_close(&self) {
+    pub fn set_reset_on_close(&self) {
         let _ = SockRef::from(&*self.0).set_linger(Some(std::time::Duration::ZERO)); // on failure the close is orderly
     }
 
@@ -88,11 +88,12 @@
     /// Waits until the peer sends something or closes, without reading it.
     pub async fn readable(&self) {
         let mut byte = [0];
-        let _ = poll_fn(|cx| self.0.poll_peek(cx, &mut ReadBuf::new(&mut byte))).await; // a close also counts as readable
+        // A close also counts as readable.
+        let _ = poll_fn(|cx| self.0.poll_peek(cx, &mut ReadBuf::new(&mut byte))).await;
     }
 
     /// Reads and discards data until the peer closes or `max_bytes` have been read.
-    pub async fn drain(&self, max_bytes: usize) {
+    pub async fn discard_input(&self, max_bytes: usize) {
         let mut buffer = vec![0; 16 << 10];
         let mut left = max_bytes;
         while left > 0 {
--- a/crates/sandgap/src/upstream/attempt.rs
+++ b/crates/sandgap/src/upstream/attempt.rs
@@ -11,7 +11,7 @@
 use super::progress::SendPrecondition;
 use super::response::{ResponsePart, exchange};
 use super::{Outgoing, Payload, Upstreams};
-use crate::body::{End, Progress};
+use crate::body::{AnswerEnd, AnswerProgress};
 use crate::diagnostics::Event;
 use crate::event::{self, AnswerBy, Attempt};
 use crate::retry;
@@ -61,8 +61,8 @@
                 () = write_progress.stalled() => Err("the response stalled before its end".into()),
             }
         };
-        // A long request has no timeout while it is sent. The backend's time starts with its last byte; the client's timeout
-        // has started by then.
+        // A long request has no timeout while it is sent. The backend's time starts with its last byte; the client's
+        // timeout has started by then.
         let answer = {
             tokio::pin!(answer);
             loop {
@@ -112,7 +112,7 @@
 
 /// Waits for the end of a long answer; the flag tells whether its connection may be reused. A client that disconnects or
 /// reads nothing is not the backend's fault. An answer that may still be short is cut off at the client's deadline.
-async fn follow(progress: &Progress, mut end: End, answer_by: &AnswerBy) -> (Outcome, bool) {
+async fn follow(progress: &AnswerProgress, mut end: AnswerEnd, answer_by: &AnswerBy) -> (Outcome, bool) {
     loop {
         let left = answer_by.instant().saturating_duration_since(Instant::now());
         let wait = match progress.may_be_short() {
--- a/crates/sandgap/src/upstream/mod.rs
+++ b/crates/sandgap/src/upstream/mod.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, Request, Uri};
 use tokio::time::Instant;
 
-use crate::body::{Answering, Sending, Upload};
+use crate::body::{AnswerBody, RequestBody, Upload};
 use crate::event::{Attempt, Exchange};
 pub use pool::Upstreams;
 
@@ -46,7 +46,7 @@
     /// End-to-end headers; hop-by-hop headers are removed.
     pub headers: HeaderMap,
     /// The body: buffered, or streamed as it arrives.
-    pub body: Answering,
+    pub body: AnswerBody,
 }
 
 /// A client's request and the connections over which it is forwarded. `T` is a guard held until the request is done.
@@ -105,10 +105,12 @@
     }
 
     /// Builds the request for one attempt; `X-Timeout` gives how long this proxy will wait.
-    fn request(&self, until: Instant) -> Option<Request<Sending>> {
+    fn request(&self, until: Instant) -> Option<Request<RequestBody>> {
         let (body, until) = match &self.body {
-            Payload::Short(bytes) => (Sending::Whole(Some(bytes.clone()).filter(|b| !b.is_empty())), until),
-            Payload::Long(upload) => (Sending::long(upload), self.patience_ends(upload).min(until)),
+            Payload::Short(bytes) => {
+                (RequestBody::Whole(Some(bytes.clone()).filter(|b| !b.is_empty())), until)
+            }
+            Payload::Long(upload) => (RequestBody::long(upload), self.patience_ends(upload).min(until)),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
--- a/crates/sandgap/src/upstream/pool.rs
+++ b/crates/sandgap/src/upstream/pool.rs
@@ -16,9 +16,9 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use super::progress::{TrackedStream, WriteProgress};
-use crate::body::Sending;
+use crate::body::RequestBody;
 use crate::diagnostics::Diagnostics;
-use crate::event::{Back, Endpoint};
+use crate::event::{BackendPool, Endpoint};
 use crate::socket::Socket;
 use crate::view::View;
 
@@ -44,7 +44,7 @@
 
 /// A connection to a backend; dropping it closes the socket.
 pub(super) struct Connection {
-    pub(super) sender: SendRequest<Sending>,
+    pub(super) sender: SendRequest<RequestBody>,
     pub(super) write_progress: Rc<WriteProgress>,
     stream: Socket,
     /// Permit of the socket budget, shared with the stream: the socket counts until both have been dropped.
@@ -221,7 +221,7 @@
     }
 }
 
-impl Back for Upstreams {
+impl BackendPool for Upstreams {
     fn retire(&self, endpoint: &Endpoint) {
         self.idle.borrow_mut().remove(&endpoint.number);
     }
--- a/crates/sandgap/src/upstream/progress.rs
+++ b/crates/sandgap/src/upstream/progress.rs
@@ -41,7 +41,7 @@
     /// A body of unknown length, sent chunked, which ends with its last chunk.
     chunked_body: RefCell<Option<Rc<Upload>>>,
     /// The last bytes of that body that were written.
-    tail: Cell<[u8; LAST_CHUNK.len()]>,
+    chunked_tail: Cell<[u8; LAST_CHUNK.len()]>,
     /// Since when the socket has accepted no bytes.
     blocked_since: Cell<Option<Instant>>,
     /// Notified when a request's last byte is written.
@@ -101,7 +101,7 @@
         };
         self.body_left.set(left);
         self.chunked_body.replace(chunked.cloned());
-        self.tail.take();
+        self.chunked_tail.take();
         self.blocked_since.set(None);
         self.last_part_at.set(None);
         self.in_body.set(false);
@@ -174,12 +174,12 @@
         }
         self.body_left.set(self.body_left.get().saturating_sub(rest.len() as u64));
         if self.chunked_body.borrow().is_some() {
-            let mut tail = self.tail.get();
+            let mut tail = self.chunked_tail.get();
             let kept = rest.len().min(tail.len());
             tail.rotate_left(kept);
             let at = tail.len() - kept;
             tail[at..].copy_from_slice(&rest[rest.len() - kept..]);
-            self.tail.set(tail);
+            self.chunked_tail.set(tail);
         }
         if self.is_complete() {
             self.finished.notify_one();
@@ -189,7 +189,7 @@
     /// Whether the request's last byte has been written; from then on the request may have run.
     pub(super) fn is_complete(&self) -> bool {
         let is_body_complete = match &*self.chunked_body.borrow() {
-            Some(upload) => upload.has_ended() && self.tail.get() == LAST_CHUNK,
+            Some(upload) => upload.has_ended() && self.chunked_tail.get() == LAST_CHUNK,
             None => self.body_left.get() == 0,
         };
         self.head_end_matched.get() == HEAD_END.len() && is_body_complete
@@ -238,7 +238,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        Poll::Ready(self.stream.end_sending())
+        Poll::Ready(self.stream.shutdown_write())
     }
 }
 
--- a/crates/sandgap/src/upstream/response.rs
+++ b/crates/sandgap/src/upstream/response.rs
@@ -14,7 +14,7 @@
 
 use super::progress::WriteProgress;
 use super::{Reply, strip};
-use crate::body::{self, Answering, Broken, End, Progress, Sending, Stream};
+use crate::body::{self, AnswerBody, AnswerEnd, AnswerProgress, AnswerStream, BodyError, RequestBody};
 use crate::event::AnswerBy;
 
 /// Maximum time for which the start of an answer with a long declared length is buffered before it is passed on. A
@@ -38,14 +38,14 @@
     /// The complete answer; the flag tells whether the connection may be reused.
     Whole(Outcome, Option<Reply>, bool),
     /// The first part of a long answer.
-    Long(Reply, Rc<Progress>, End),
+    Long(Reply, Rc<AnswerProgress>, AnswerEnd),
 }
 
 /// Sends a request and reads the answer, or the first part of a long one.
 pub(super) async fn exchange(
-    sender: &mut SendRequest<Sending>, request: Request<Sending>, write_progress: &WriteProgress,
+    sender: &mut SendRequest<RequestBody>, request: Request<RequestBody>, write_progress: &WriteProgress,
     answer_by: &AnswerBy,
-) -> Result<ResponsePart, Broken> {
+) -> Result<ResponsePart, BodyError> {
     let answer = sender.send_request(request).await?;
     write_progress.answer_head_received();
     let (head, body) = answer.into_parts();
@@ -65,9 +65,9 @@
                     ResponsePart::Whole(Outcome::Served, Some(Reply { headers, body: bytes.into() }), keep)
                 }
                 Gathered::Partial(first, rest) => {
-                    let (stream, progress, end) = Stream::new(first, rest);
+                    let (stream, progress, end) = AnswerStream::new(first, rest);
                     ResponsePart::Long(
-                        Reply { headers, body: Answering::Long(Box::new(stream), None) },
+                        Reply { headers, body: AnswerBody::Long(Box::new(stream), None) },
                         progress,
                         end,
                     )
@@ -81,11 +81,11 @@
         }
         _ => Outcome::Error,
     };
-    let whole = Limited::new(body, body::WHOLE).collect().await;
+    let rest = Limited::new(body, body::WHOLE).collect().await;
     Ok(ResponsePart::Whole(
         outcome,
         None,
-        keep && whole.is_ok() && head.status != StatusCode::SWITCHING_PROTOCOLS,
+        keep && rest.is_ok() && head.status != StatusCode::SWITCHING_PROTOCOLS,
     ))
 }
 
@@ -106,12 +106,12 @@
 /// Buffers a short answer completely, and a long one only until it is known to be long.
 async fn gather(
     mut incoming: Incoming, length: Option<u64>, answer_by: &AnswerBy,
-) -> Result<Gathered, Broken> {
+) -> Result<Gathered, BodyError> {
     let max_wait = match length {
         Some(length) if length <= body::WHOLE as u64 => {
             return Ok(Gathered::Whole(incoming.collect().await?.to_bytes()));
         }
-        Some(length) if length > body::LONGEST_ANSWER => {
+        Some(length) if length > body::MAX_ANSWER_BODY => {
             return Err("the response exceeds the maximum length".into());
         }
         Some(_) => MAX_GATHER_DECLARED,
--- a/crates/sandgap/src/view.rs
+++ b/crates/sandgap/src/view.rs
@@ -1,11 +1,11 @@
-//! How old the proxy's view of its backends and clients is.
+//! Tracks how old the proxy's knowledge of its backends and clients is.
 //!
-//! The driver takes in what the sockets have brought many times a second. A process that stood still in between, as it was
-//! stopped or had no processor, knows neither the drains that were told meanwhile nor the clients that left. When it goes on,
-//! its timers have fired and its connections have come up, and all of that may be looked at before the news is: nothing is
-//! sent by such a view. The driver first lets everything be read that has come ([`settle`]), and a request's first byte waits
-//! until the driver has acted on it ([`View::poll_current`]). What is read then may have come at any time since
-//! ([`View::arrived_at`]): its client has waited for as long.
+//! The driver handles socket events many times a second. A process that stood still in between, because it was stopped or
+//! got no CPU time, knows neither of drains announced meanwhile nor of clients that disconnected. When it resumes, timers
+//! have fired and connections have been established, and these may be handled before the updates. Nothing may be sent in
+//! that state: the driver first lets all received data be read ([`settle`]), and a request's first byte waits until the
+//! driver has handled it ([`View::poll_current`]). Data read then may have arrived at any time since the standstill began
+//! ([`View::arrived_at`]), and its client has waited for that long.
 
 use std::cell::{Cell, RefCell};
 use std::task::{Context, Poll, Waker};
@@ -15,20 +15,20 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// Turns of the runtime that let everything be read that has come, each with a look at all sockets: a long list takes two
-/// for each piece in which it is read.
-const TURNS: usize = 32;
-/// A turn of a busy process is long; after this time [`LEAST_TURNS`] are enough.
+/// Turns of the runtime after which all received data has been read. Each turn polls all sockets; a long list takes two
+/// turns for each chunk.
+const MAX_TURNS: usize = 32;
+/// Turns of a busy process are long; after this time [`MIN_TURNS`] are enough.
 const SETTLE_TIME: Duration = Duration::from_millis(20);
-/// Turns from a short list's bytes to the driver: the connection's, its reader's, and one to spare.
-const LEAST_TURNS: usize = 3;
-/// Further standstills in the middle of that are waited out so often; past it the process is merely slow.
+/// Turns from a short list's bytes to the driver: the connection's task, its reader's, and one spare.
+const MIN_TURNS: usize = 3;
+/// How many further standstills restart the count of turns; after that the process is considered slow.
 const MAX_INTERRUPTIONS: usize = 3;
 
-/// When the driver last had taken in all that had come, and who waits until it has again.
+/// When the driver last had handled all received data, and the tasks that wait until it has again.
 pub struct View {
     caught_up: Cell<Instant>,
-    /// One for each connection at most.
+    /// At most one for each connection.
     waiting: RefCell<Vec<Waker>>,
 }
 
@@ -39,24 +39,24 @@
 }
 
 impl View {
-    /// The driver has taken in all that had come by now.
-    pub fn renew(&self, now: Instant) {
+    /// Records that the driver has handled all data received by `now`.
+    pub fn mark_caught_up(&self, now: Instant) {
         self.caught_up.set(now);
         self.waiting.take().into_iter().for_each(Waker::wake);
     }
 
-    /// How long the process has stood still, if it has.
+    /// Length of the current standstill, if there is one.
     pub fn standstill(&self) -> Option<Duration> {
         Some(self.caught_up.get().elapsed()).filter(|age| *age > MAX_VIEW_AGE)
     }
 
-    /// The earliest moment at which that may have come which is read from a socket now.
+    /// The earliest time at which data that is read from a socket now may have arrived.
     pub fn arrived_at(&self) -> Instant {
         let (now, caught_up) = (Instant::now(), self.caught_up.get());
         if now.saturating_duration_since(caught_up) > MAX_VIEW_AGE { caught_up } else { now }
     }
 
-    /// Waits until the driver has caught up, where it has not.
+    /// Waits until the driver has caught up after a standstill.
     pub fn poll_current(&self, cx: &Context) -> Poll<()> {
         if self.standstill().is_none() {
             return Poll::Ready(());
@@ -66,7 +66,7 @@
     }
 }
 
-/// Lets everything be read that has come while the process stood still.
+/// Yields until all data received during a standstill has been read.
 pub async fn settle() {
     let start = Instant::now();
     let (mut last, mut turns, mut interruptions) = (start, 0, 0);
@@ -79,7 +79,7 @@
         }
         last = now;
         let is_slow = now - start >= SETTLE_TIME;
-        if turns >= TURNS || is_slow && turns >= LEAST_TURNS {
+        if turns >= MAX_TURNS || is_slow && turns >= MIN_TURNS {
             return;
         }
     }
--- a/crates/sandgap/tests/ending.rs
+++ b/crates/sandgap/tests/ending.rs
@@ -150,7 +150,7 @@
         let mut client = TcpStream::connect(address).expect("a connection");
         client.set_read_timeout(Some(LIMIT)).expect("a time-out");
         let socket = Socket::new(listener.accept().await.expect("a connection").0);
-        socket.end_sending().expect("a connection");
+        socket.shutdown_write().expect("a connection");
         client.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("a connection");
         socket.readable().await;
         drop(socket);
