--- a/crates/sandgap/src/daemon.rs
+++ b/crates/sandgap/src/daemon.rs
@@ -227,8 +227,12 @@
         Source::Fixed(hosts) => inbox.put(Input::List(Scope::Full, hosts)),
         Source::Discovery(_) => {
             inbox.put(Input::List(Scope::Cached, Vec::new())); // the module's clock begins
-            let remembered = discovery::remembered(&config.known).unwrap_or_default();
-            spawn_local(offer_remembered(remembered, discovery::patience(pushed), inbox.clone()));
+            let remembered = discovery::parse_remembered(&config.known).unwrap_or_default();
+            spawn_local(offer_remembered(
+                remembered,
+                discovery::remembered_list_delay(pushed),
+                inbox.clone(),
+            ));
         }
     }
     if let Some(addresses) = addresses {
--- a/crates/sandgap/src/discovery/assembly.rs
+++ b/crates/sandgap/src/discovery/assembly.rs
@@ -1,71 +1,76 @@
-//! Puts lists together from lines. A list is one line as a rule, but may come indented, over many; a line that is torn
-//! looks like the beginning of such a one, until nothing follows or something else does.
+//! Assembles lists from lines. A list is usually one line, but may be indented JSON over many lines. A truncated line
+//! looks like the beginning of such a list until no further line arrives or a line arrives that does not continue it.
 
 use super::List;
-use super::lines::MOST;
+use super::lines::MAX_LIST_BYTES;
 
-/// What a line brought.
-pub(super) enum Item {
-    /// A sign of life.
+/// Result of one line.
+pub(super) enum LineResult {
+    /// A heartbeat.
     Blank,
-    /// A list.
-    Whole(List),
-    /// The beginning or the middle of one: the rest has to follow soon.
-    Part,
-    /// Something was lost, and this list came after it, if it is one.
-    Torn(String, Option<List>),
+    /// A complete list.
+    Complete(List),
+    /// The beginning or middle of a list: the rest has to follow soon.
+    Partial,
+    /// Some input was lost, for the given reason; the list that the line itself holds, if any.
+    Truncated(String, Option<List>),
 }
 
-/// See the module.
+/// Assembles lists; see the module documentation.
 #[derive(Default)]
-pub(super) struct Assembly {
+pub(super) struct ListAssembler {
     part: Vec<u8>,
     depth: usize,
     in_string: bool,
     escaped: bool,
 }
 
-impl Assembly {
-    /// Whether a list has begun whose rest has not come.
-    pub(super) fn waits(&self) -> bool {
+impl ListAssembler {
+    /// Whether a list has begun but is not complete.
+    pub(super) fn is_partial(&self) -> bool {
         !self.part.is_empty()
     }
 
-    /// Gives up a list whose rest does not come.
-    pub(super) fn give_up(&mut self) -> String {
+    /// Discards an incomplete list and describes it.
+    pub(super) fn discard(&mut self) -> String {
         let bytes = self.part.len();
-        *self = Assembly::default();
+        *self = ListAssembler::default();
         format!("a list that ends after {bytes} bytes")
     }
 
-    /// Takes a line, without its end.
-    pub(super) fn push(&mut self, line: &[u8]) -> Item {
+    /// Adds a line, without its line end.
+    pub(super) fn push(&mut self, line: &[u8]) -> LineResult {
         if line.trim_ascii().is_empty() {
-            return if self.waits() { Item::Torn(self.give_up(), None) } else { Item::Blank };
+            return if self.is_partial() {
+                LineResult::Truncated(self.discard(), None)
+            } else {
+                LineResult::Blank
+            };
         }
-        if self.waits()
+        if self.is_partial()
             && let Ok(list) = serde_json::from_slice::<List>(line)
         {
-            return Item::Torn(self.give_up(), Some(list)); // whole in itself: what was before it never ended
+            // The line is a complete list, so the list before it was truncated.
+            return LineResult::Truncated(self.discard(), Some(list));
         }
-        if self.part.len() + line.len() > MOST {
-            return Item::Torn(self.give_up(), None);
+        if self.part.len() + line.len() > MAX_LIST_BYTES {
+            return LineResult::Truncated(self.discard(), None);
         }
         self.scan(line);
         self.part.extend_from_slice(line);
         self.part.push(b'\n');
         if self.depth > 0 {
-            return Item::Part;
+            return LineResult::Partial;
         }
         let whole = serde_json::from_slice::<List>(&self.part);
-        *self = Assembly::default();
+        *self = ListAssembler::default();
         match whole {
-            Ok(list) => Item::Whole(list),
-            Err(e) => Item::Torn(e.to_string(), None),
+            Ok(list) => LineResult::Complete(list),
+            Err(e) => LineResult::Truncated(e.to_string(), None),
         }
     }
 
-    /// Counts what is open, past whatever stands in strings.
+    /// Counts open brackets outside strings.
     fn scan(&mut self, line: &[u8]) {
         for byte in line {
             match byte {
@@ -92,46 +97,46 @@
         serde_json::to_string_pretty(&value).expect("JSON")
     }
 
-    /// What lines bring: the versions of lists, and what was torn.
-    fn all(text: &str) -> (Vec<u64>, usize, bool) {
-        let (mut assembly, mut lists, mut torn) = (Assembly::default(), Vec::new(), 0);
+    /// Versions of the lists in a text, the number of truncated lists, and whether a list is incomplete at the end.
+    fn push_lines(text: &str) -> (Vec<u64>, usize, bool) {
+        let (mut assembly, mut lists, mut truncated) = (ListAssembler::default(), Vec::new(), 0);
         for line in text.lines() {
             match assembly.push(line.as_bytes()) {
-                Item::Whole(list) => lists.push(list.seq),
-                Item::Torn(_, list) => {
-                    torn += 1;
+                LineResult::Complete(list) => lists.push(list.seq),
+                LineResult::Truncated(_, list) => {
+                    truncated += 1;
                     lists.extend(list.map(|l| l.seq));
                 }
-                Item::Blank | Item::Part => {}
+                LineResult::Blank | LineResult::Partial => {}
             }
         }
-        (lists, torn, assembly.waits())
+        (lists, truncated, assembly.is_partial())
     }
 
     #[test]
     fn a_list_over_many_lines_is_one_list() {
-        assert_eq!(all(LIST), (vec![7], 0, false));
-        assert_eq!(all(&indented()), (vec![7], 0, false));
-        let deeper: String = indented().lines().map(|l| format!("  {l}\n")).collect();
-        assert_eq!(all(&format!("\n{deeper}\n{LIST}\n")), (vec![7, 7], 0, false));
+        assert_eq!(push_lines(LIST), (vec![7], 0, false));
+        assert_eq!(push_lines(&indented()), (vec![7], 0, false));
+        let indented_further: String = indented().lines().map(|l| format!("  {l}\n")).collect();
+        assert_eq!(push_lines(&format!("\n{indented_further}\n{LIST}\n")), (vec![7, 7], 0, false));
     }
 
     #[test]
-    fn a_torn_line_is_found_by_whatever_follows() {
+    fn a_truncated_line_is_detected_by_any_line_that_follows() {
         let half = &LIST[..40];
-        assert_eq!(all(half), (vec![], 0, true));
-        assert_eq!(all(&format!("{half}\n\n")), (vec![], 1, false));
-        assert_eq!(all(&format!("{half}\n{LIST}")), (vec![7], 1, false));
-        assert_eq!(all(&format!("xyz\n{LIST}")), (vec![7], 1, false));
+        assert_eq!(push_lines(half), (vec![], 0, true));
+        assert_eq!(push_lines(&format!("{half}\n\n")), (vec![], 1, false));
+        assert_eq!(push_lines(&format!("{half}\n{LIST}")), (vec![7], 1, false));
+        assert_eq!(push_lines(&format!("xyz\n{LIST}")), (vec![7], 1, false));
         let cut: Vec<String> = indented().lines().take(4).map(str::to_owned).collect();
-        assert_eq!(all(&format!("{}\n{LIST}", cut.join("\n"))), (vec![7], 1, false));
+        assert_eq!(push_lines(&format!("{}\n{LIST}", cut.join("\n"))), (vec![7], 1, false));
     }
 
     #[test]
-    fn what_never_ends_is_bounded() {
-        let mut assembly = Assembly::default();
+    fn an_unterminated_list_is_bounded() {
+        let mut assembly = ListAssembler::default();
         let line = vec![b'['; 64 << 10];
-        let parts = (0..200).take_while(|_| matches!(assembly.push(&line), Item::Part)).count();
-        assert!(parts <= MOST / line.len() && assembly.part.is_empty());
+        let parts = (0..200).take_while(|_| matches!(assembly.push(&line), LineResult::Partial)).count();
+        assert!(parts <= MAX_LIST_BYTES / line.len() && assembly.part.is_empty());
     }
 }
--- a/crates/sandgap/src/discovery/lines.rs
+++ b/crates/sandgap/src/discovery/lines.rs
@@ -1,4 +1,4 @@
-//! Discovery's calls on sockets: an answer's body, line by line.
+//! HTTP calls to discovery, with the response body read line by line.
 
 use std::net::SocketAddr;
 
@@ -12,32 +12,36 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, timeout};
 
-use super::clocks::{CALL, CONNECT, TURN};
+use super::timing::{ANSWER_TIMEOUT, CALL_TIMEOUT, CONNECT_TIMEOUT};
 
-/// Bytes of a list, and of what is not yet a whole line: a thousand backends take 200 kB.
-pub(super) const MOST: usize = 4 << 20;
+/// Limit of a list and of an incomplete line, in bytes. A thousand backends take 200 kB.
+pub(super) const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Opens a watch of what came after a version; see [`super::clocks`] for how long that may take.
-pub(super) async fn open(address: SocketAddr, after: Option<u64>, pushed: bool) -> Result<Lines, String> {
+/// Opens a watch for changes after a version; [`super::timing`] has the timeouts.
+pub(super) async fn open_watch(
+    address: SocketAddr, after: Option<u64>, pushed: bool,
+) -> Result<Lines, String> {
     let began = Instant::now();
     let after = after.map_or(String::new(), |seq| format!("&after={seq}"));
     let query = format!("watch=1{after}");
-    let (up, answered) = if pushed { (CALL, CALL) } else { (CONNECT, TURN) };
+    let (connect_timeout, answer_timeout) =
+        if pushed { (CALL_TIMEOUT, CALL_TIMEOUT) } else { (CONNECT_TIMEOUT, ANSWER_TIMEOUT) };
     let call = async {
-        let stream =
-            timeout(up, TcpStream::connect(address)).await.map_err(|_| "no connection".to_owned())?;
-        get_on(stream.map_err(|e| e.to_string())?, address, &query, began).await
+        let stream = timeout(connect_timeout, TcpStream::connect(address))
+            .await
+            .map_err(|_| "no connection".to_owned())?;
+        get_over(stream.map_err(|e| e.to_string())?, address, &query, began).await
     };
-    timeout(answered, call).await.unwrap_or_else(|_| Err("no answer".into()))
+    timeout(answer_timeout, call).await.unwrap_or_else(|_| Err("no answer".into()))
 }
 
-/// An answer's body, line by line.
+/// A response body, line by line.
 pub(super) struct Lines {
     /// When the call began.
     pub(super) began: Instant,
     body: hyper::body::Incoming,
     buffer: Vec<u8>,
-    /// Ends the connection with the answer.
+    /// Closes the connection when the response is dropped.
     _connection: JoinSet<()>,
     _sender: http1::SendRequest<Empty<Bytes>>,
 }
@@ -53,22 +57,23 @@
                 return Ok(Some(line));
             }
             seen = self.buffer.len();
-            if !self.more().await? {
+            if !self.read_frame().await? {
                 return Ok(None);
             }
         }
     }
 
+    /// The rest of the body.
     pub(super) async fn rest(mut self) -> Result<Vec<u8>, String> {
-        while self.more().await? {}
+        while self.read_frame().await? {}
         Ok(self.buffer)
     }
 
-    async fn more(&mut self) -> Result<bool, String> {
+    async fn read_frame(&mut self) -> Result<bool, String> {
         let Some(frame) = self.body.frame().await else { return Ok(false) };
         if let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() {
-            if self.buffer.len() + data.len() > MOST {
-                return Err("a line over the size".into());
+            if self.buffer.len() + data.len() > MAX_LIST_BYTES {
+                return Err("a line is longer than the limit".into());
             }
             self.buffer.extend_from_slice(&data);
         }
@@ -76,20 +81,21 @@
     }
 }
 
+/// Requests the list and returns its body.
 pub(super) async fn get(address: SocketAddr, query: &str) -> Result<Lines, String> {
     let began = Instant::now();
     let stream = TcpStream::connect(address).await.map_err(|e| e.to_string())?;
-    get_on(stream, address, query, began).await
+    get_over(stream, address, query, began).await
 }
 
-async fn get_on(
+async fn get_over(
     stream: TcpStream, address: SocketAddr, query: &str, began: Instant,
 ) -> Result<Lines, String> {
     let (mut sender, connection) =
         http1::handshake(TokioIo::new(SharedStream::from(stream))).await.map_err(|e| e.to_string())?;
     let mut task = JoinSet::new();
     task.spawn_local(async move {
-        let _ = connection.await; // its end shows in the body
+        let _ = connection.await; // an error shows in the body
     });
     let separator = if query.is_empty() { "" } else { "?" };
     let request = Request::get(format!("/discovery/hosts{separator}{query}"))
--- a/crates/sandgap/src/discovery/mod.rs
+++ b/crates/sandgap/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! The list of backends: a watch that resumes where it broke off, and single whole lists.
+//! Client of the discovery service: a watch of the backend list that resumes at the last version, and requests for
+//! single full lists.
 
 mod assembly;
-mod clocks;
 mod lines;
+mod timing;
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,15 +20,18 @@
 
 use crate::event::{Host, Inbox, Input};
 use crate::note;
-use assembly::{Assembly, Item};
-use clocks::{BACKOFF, CALL, CALM, HEDGE, MAX_DOUBLINGS, PATIENCE, REST, SAY, SILENCE, WHOLE};
-use lines::{Lines, get, open};
+use assembly::{LineResult, ListAssembler};
+use lines::{Lines, get, open_watch};
+use timing::{
+    BACKOFF, CALL_TIMEOUT, FULL_LIST_TIMEOUT, HEARTBEAT_TIMEOUT, HEDGE_DELAY, LINE_GAP_TIMEOUT, LOG_INTERVAL,
+    MAX_DOUBLINGS, REGRESSION_RESET, REMEMBERED_LIST_DELAY,
+};
 
-/// Reads what can be read: one odd entry must not hide what the rest of the list says.
+/// Parses an entry as far as possible: one malformed entry must not hide the rest of the list.
 fn host(entry: &Value) -> Option<Host> {
     let text = |key: &str| entry[key].as_str().map(str::to_owned);
     let Some(host) = text("host") else {
-        note!(warn: "discovery: an entry without a name");
+        note!(warn: "discovery: an entry has no name; it is ignored");
         return None;
     };
     let dial = entry["dial"].as_str().and_then(|d| d.parse().ok());
@@ -46,7 +50,7 @@
     })
 }
 
-/// The whole list or what has changed.
+/// A full list or the changes since a version, as discovery sends it.
 #[derive(Debug, Deserialize)]
 struct List {
     seq: u64,
@@ -60,57 +64,58 @@
     }
 }
 
-/// Reads the list that the configuration remembers; a broken one is as good as none.
-pub fn remembered(known: &Value) -> Option<Vec<Host>> {
+/// Parses the list that the configuration remembers; a malformed one is logged and ignored.
+pub fn parse_remembered(known: &Value) -> Option<Vec<Host>> {
     if known.is_null() {
         return None;
     }
     match List::deserialize(known) {
         Ok(list) => Some(list.entries()),
         Err(e) => {
-            note!(warn: "the remembered list is of no use: {e}");
+            note!(warn: "the remembered list can't be used: {e}");
             None
         }
     }
 }
 
-/// How long discovery may take to tell its list before it counts as silent. An agent answers at once; one that has not
-/// within a whole call is silent. Elsewhere what is told counts only once it is, and a call may wait for its turn.
-pub fn patience(pushed: bool) -> Duration {
-    if pushed { CALL } else { PATIENCE }
+/// How long discovery may take to send its list before the remembered list is used. A local agent answers at once: one
+/// that has not answered within a call's timeout is silent. Elsewhere a list counts only once it has arrived, and a call
+/// may wait in discovery's queue.
+pub fn remembered_list_delay(pushed: bool) -> Duration {
+    if pushed { CALL_TIMEOUT } else { REMEMBERED_LIST_DELAY }
 }
 
-/// Follows discovery wherever the configuration says that it is. With `asked` a watch is opened only when the
-/// module wants one. After a move the old service is listened to until the new one has told its list.
+/// Follows discovery at the configured address. With `asked`, a watch is opened only when the decision library requests
+/// one. After a change of address the old service is read until the new one has sent its list.
 pub async fn follow(mut addresses: watch::Receiver<SocketAddr>, inbox: Inbox, asked: Option<Rc<Notify>>) {
     let start = Instant::now();
-    let believed = Rc::new(Cell::new(0));
+    let active_number = Rc::new(Cell::new(0));
     let mut serving = JoinSet::new();
     for number in 0.. {
-        let (told, first) = oneshot::channel();
+        let (first_list, first_list_sent) = oneshot::channel();
         let address = *addresses.borrow_and_update();
-        let source = Discovery {
+        let source = Watcher {
             address,
             inbox: inbox.clone(),
             start,
             order: ListOrder::new(number > 0),
             number,
-            believed: believed.clone(),
-            told: Some(told),
-            heard: 0,
+            active_number: active_number.clone(),
+            first_list: Some(first_list),
+            lines_read: 0,
             pushed: asked.is_none(),
-            asked: None,
+            last_call: None,
             regressions: 0,
             regressed_at: None,
         };
         let mut next = JoinSet::new();
-        next.spawn_local(source.keep(asked.clone()));
+        next.spawn_local(source.run(asked.clone()));
         tokio::select! {
-            biased; // a list that has been taken makes its source the one that counts
-            Ok(()) = first => serving = next, // ends the one before
+            biased; // once a source's list is applied, that source replaces the one before
+            Ok(()) = first_list_sent => serving = next, // dropping the old value ends its source
             moved = addresses.changed() => match moved {
                 Ok(()) => continue,
-                Err(_) => std::future::pending().await, // nobody is left who could move it
+                Err(_) => std::future::pending().await, // the sender is gone: the address can't change
             },
         }
         note!("discovery at {address} has told its list");
@@ -120,196 +125,198 @@
     }
 }
 
-/// A watch at one address and what it knows of the list's version there.
-struct Discovery {
+/// The watch of one address, with the list version known there.
+struct Watcher {
     address: SocketAddr,
     inbox: Inbox,
-    /// Zero of the times by which calls and lists are ordered.
+    /// Origin of the times that order calls and lists.
     start: Instant,
-    /// Which lists from here are newer than which.
+    /// Orders the lists from this address by age.
     order: ListOrder,
-    /// Addresses are counted up; the highest that has told a whole list is believed, and none before it.
+    /// Number of this address. The highest number that has sent a full list is in use; lower ones are ignored.
     number: u64,
-    believed: Rc<Cell<u64>>,
-    /// Told of the first whole list.
-    told: Option<oneshot::Sender<()>>,
-    /// Lines read so far, whatever they brought.
-    heard: u64,
-    /// Lists are pushed to an agent on this machine: asking it costs nothing.
+    active_number: Rc<Cell<u64>>,
+    /// Notified of the first full list.
+    first_list: Option<oneshot::Sender<()>>,
+    /// Lines read so far, of any kind.
+    lines_read: u64,
+    /// Whether lists are pushed to an agent on this machine, so that calls are cheap.
     pushed: bool,
-    /// When it was asked last.
-    asked: Option<Instant>,
-    /// Times that versions have fallen of late, and when that was last.
+    /// When discovery was last called.
+    last_call: Option<Instant>,
+    /// Recent times that versions went backwards, and when that last happened.
     regressions: u32,
     regressed_at: Option<Instant>,
 }
 
-impl Discovery {
-    /// Keeps a watch open for ever, and takes it up again where it broke off. Where discovery is asked, each
-    /// watch but the first one after a move waits for the module's wish, and its end is told.
-    async fn keep(self, asked: Option<Rc<Notify>>) {
+impl Watcher {
+    /// Keeps a watch open and resumes it after the last version when it breaks. Where discovery is asked, each watch
+    /// except the first after a change of address waits for the decision library's request, and its end is reported.
+    async fn run(self, asked: Option<Rc<Notify>>) {
         match asked {
-            Some(asked) => self.keep_asked(&asked).await,
-            None => self.keep_pushed().await,
+            Some(asked) => self.watch_on_request(&asked).await,
+            None => self.watch_pushed().await,
         }
     }
 
-    /// Where calls cost discovery something: no more of them than are wished for.
-    async fn keep_asked(mut self, asked: &Notify) {
+    /// Opens watches only on request, where calls cost discovery something.
+    async fn watch_on_request(mut self, asked: &Notify) {
         let (mut backoff, mut silent) = (BACKOFF.0, false);
         loop {
             let waits = self.number == 0 || self.order.held().is_some();
             if waits {
                 asked.notified().await;
             }
-            // After a silent watch the whole list is asked for: one that resumes says nothing while nothing changes,
-            // and a second silence would be seen too late.
+            // After a silent watch the full list is requested: a resumed watch sends nothing while nothing changes,
+            // and a second silence would be noticed too late.
             let after = self.order.held().filter(|_| !silent);
-            let first = if silent { WHOLE } else { SILENCE };
-            let error = match open(self.address, after, false).await {
+            let first = if silent { FULL_LIST_TIMEOUT } else { HEARTBEAT_TIMEOUT };
+            let error = match open_watch(self.address, after, false).await {
                 Ok(lines) => {
-                    let trouble = self.watch_on(lines, first).await;
-                    silent = matches!(trouble, Trouble::Silent);
-                    trouble.to_string()
+                    let error = self.read_and_renew(lines, first).await;
+                    silent = matches!(error, WatchError::Silent);
+                    error.to_string()
                 }
                 Err(e) => e,
             };
-            if self.is_past() {
-                return; // what it would say is late
+            if self.is_superseded() {
+                return; // its result is out of date
             }
-            // Once there is a list the next watch waits for the module's wish, and the module wishes for none before it
-            // is told of this one's end: also of the first one after a move, which it did not wish for.
+            // Once there is a list, the next watch waits for the decision library's request, and the library makes none
+            // before it learns that this watch has ended. That includes the first watch after a change of address,
+            // which the library did not request.
             if waits || self.order.held().is_some() {
                 note!(warn: "discovery: {error}");
                 self.inbox.put(Input::List(Scope::Failed, Vec::new()));
                 continue;
             }
-            note!(warn: "discovery: {error}; again in {} ms", backoff.as_millis());
+            note!(warn: "discovery: {error}; retrying in {} ms", backoff.as_millis());
             sleep(backoff).await;
             backoff = (backoff * 2).min(BACKOFF.1);
         }
     }
 
-    /// Reads a watch until it ends; a broken line is mended by a new watch from the last good one.
-    async fn watch_on(&mut self, mut lines: Lines, mut first: Duration) -> Trouble {
+    /// Reads a watch until it ends. After a malformed line a new watch resumes from the last good version.
+    async fn read_and_renew(&mut self, mut lines: Lines, mut first: Duration) -> WatchError {
         loop {
-            let trouble = self.read(&mut lines, first).await;
-            let whole = match &trouble {
-                Trouble::Broken(_) => false,
-                Trouble::Regressed(_) => true,
-                _ => return trouble,
+            let error = self.read(&mut lines, first).await;
+            let whole = match &error {
+                WatchError::Malformed(_) => false,
+                WatchError::Regressed(_) => true,
+                _ => return error,
             };
-            note!(warn: "discovery: {trouble}; another watch is opened");
-            match self.renew(Some(lines), whole).await {
-                Some(new) => (lines, first) = (new, SILENCE),
-                None => return Trouble::Useless("discovery has moved".into()),
+            note!(warn: "discovery: {error}; another watch is opened");
+            match self.reopen(Some(lines), whole).await {
+                Some(new) => (lines, first) = (new, HEARTBEAT_TIMEOUT),
+                None => return WatchError::Unusable("discovery has moved".into()),
             }
         }
     }
 
-    /// Where lists are pushed, calls cost nothing: whenever there is doubt, another watch is opened, and the one before
-    /// is listened to until that is up.
-    async fn keep_pushed(mut self) {
+    /// Watches pushed lists, where calls are cheap: whenever the watch is in doubt another one is opened, and the old one
+    /// is read until the new one is established.
+    async fn watch_pushed(mut self) {
         let (mut old, mut silent, mut regressed) = (None, 0, false);
         loop {
-            // A watch that resumes says nothing for as long as nothing changes. After two silent ones the whole list is
-            // asked for, which has to come at once.
+            // A resumed watch sends no list while nothing changes. After two silent watches the full list is requested,
+            // which has to arrive at once.
             let whole = silent > 1 || regressed || self.order.held().is_none();
-            let Some(mut lines) = self.renew(old.take(), whole).await else { return };
-            let before = self.heard;
-            let trouble = self.read(&mut lines, if whole { WHOLE } else { SILENCE }).await;
-            if self.is_past() {
-                return; // what it would say is late
+            let Some(mut lines) = self.reopen(old.take(), whole).await else { return };
+            let before = self.lines_read;
+            let error =
+                self.read(&mut lines, if whole { FULL_LIST_TIMEOUT } else { HEARTBEAT_TIMEOUT }).await;
+            if self.is_superseded() {
+                return; // its result is out of date
             }
-            silent = match &trouble {
-                Trouble::Silent if self.heard == before => silent + 1,
-                Trouble::Silent => 1,
+            silent = match &error {
+                WatchError::Silent if self.lines_read == before => silent + 1,
+                WatchError::Silent => 1,
                 _ => 0,
             };
-            note!(warn: "discovery: {trouble}; another watch is opened");
-            regressed = matches!(trouble, Trouble::Regressed(_));
-            match trouble {
-                Trouble::Silent | Trouble::Broken(_) | Trouble::Regressed(_) => old = Some(lines),
-                Trouble::Useless(_) => self.order.forget(),
-                Trouble::Over(_) => {}
+            note!(warn: "discovery: {error}; another watch is opened");
+            regressed = matches!(error, WatchError::Regressed(_));
+            match error {
+                WatchError::Silent | WatchError::Malformed(_) | WatchError::Regressed(_) => old = Some(lines),
+                WatchError::Unusable(_) => self.order.forget(),
+                WatchError::Ended(_) => {}
             }
         }
     }
 
-    /// Whether a later address has told its list.
-    fn is_past(&self) -> bool {
-        self.number < self.believed.get()
+    /// Whether a later address has sent its list.
+    fn is_superseded(&self) -> bool {
+        self.number < self.active_number.get()
     }
 
-    /// Reads a watch until something is wrong with it. `first` is how long its first sign of life may take.
-    async fn read(&mut self, lines: &mut Lines, first: Duration) -> Trouble {
-        let mut assembly = Assembly::default();
-        let mut patience = first;
+    /// Reads a watch until it fails. `first` is the timeout for its first line.
+    async fn read(&mut self, lines: &mut Lines, first: Duration) -> WatchError {
+        let mut assembly = ListAssembler::default();
+        let mut line_timeout = first;
         loop {
-            let wait = if assembly.waits() { REST } else { patience };
+            let wait = if assembly.is_partial() { LINE_GAP_TIMEOUT } else { line_timeout };
             let line = match timeout(wait, lines.next()).await {
-                Err(_) if assembly.waits() => return Trouble::Broken(assembly.give_up()),
-                Err(_) => return Trouble::Silent,
-                Ok(Err(e)) => return Trouble::Over(e),
-                Ok(Ok(None)) => return Trouble::Over("the watch has ended".into()),
+                Err(_) if assembly.is_partial() => return WatchError::Malformed(assembly.discard()),
+                Err(_) => return WatchError::Silent,
+                Ok(Err(e)) => return WatchError::Ended(e),
+                Ok(Ok(None)) => return WatchError::Ended("the watch has ended".into()),
                 Ok(Ok(Some(line))) => line,
             };
-            patience = SILENCE;
-            self.heard += 1;
-            let torn = match assembly.push(&line) {
-                Item::Blank => {
+            line_timeout = HEARTBEAT_TIMEOUT;
+            self.lines_read += 1;
+            let truncated = match assembly.push(&line) {
+                LineResult::Blank => {
                     self.inbox.put(Input::DiscoveryAlive);
                     continue;
                 }
-                Item::Part => continue,
-                Item::Whole(list) => match self.take(list, false, lines.began) {
+                LineResult::Partial => continue,
+                LineResult::Complete(list) => match self.apply(list, false, lines.began) {
                     Ok(()) => continue,
-                    Err(trouble) => return trouble,
+                    Err(error) => return error,
                 },
-                Item::Torn(why, list) => (why, list),
+                LineResult::Truncated(why, list) => (why, list),
             };
-            if let Some(Err(trouble)) = torn.1.map(|list| self.take(list, true, lines.began)) {
-                return trouble;
+            if let Some(Err(error)) = truncated.1.map(|list| self.apply(list, true, lines.began)) {
+                return error;
             }
-            return Trouble::Broken(torn.0);
+            return WatchError::Malformed(truncated.0);
         }
     }
 
-    /// Opens a watch however often it takes, and listens to the one before until it is up: a drain that that one tells
-    /// has been told, however late the new one is. Where calls cost nothing, one that is not answered is joined by
-    /// another; elsewhere one follows the other, later each time. `None` once discovery has moved.
-    async fn renew(&mut self, mut old: Option<Lines>, whole: bool) -> Option<Lines> {
+    /// Opens a watch, with retries, and reads the old one until the new one is established: a drain that the old watch
+    /// reports takes effect however late the new one is. Where calls are cheap, an unanswered call is hedged by
+    /// another; elsewhere calls follow one another with backoff. `None` once discovery has moved to another address.
+    async fn reopen(&mut self, mut old: Option<Lines>, whole: bool) -> Option<Lines> {
         let after = self.order.held().filter(|_| !whole);
         let old_began = old.as_ref().map(|lines| lines.began);
         let mut calls: JoinSet<Result<Lines, String>> = JoinSet::new();
-        let mut wait = if self.pushed { HEDGE } else { self.backoff() };
-        let (mut assembly, mut said) = (Assembly::default(), None::<Instant>);
-        let mut next = self.asked.map_or_else(Instant::now, |at| at + wait);
-        while !self.is_past() {
+        let mut wait = if self.pushed { HEDGE_DELAY } else { self.backoff() };
+        let (mut assembly, mut logged_at) = (ListAssembler::default(), None::<Instant>);
+        let mut next = self.last_call.map_or_else(Instant::now, |at| at + wait);
+        while !self.is_superseded() {
             tokio::select! {
                 biased;
                 Some(call) = calls.join_next(), if !calls.is_empty() => match call {
                     Ok(Ok(lines)) => return Some(lines),
-                    Ok(Err(e)) if said.is_none_or(|at| at.elapsed() >= SAY) => {
-                        said = Some(Instant::now());
-                        note!(warn: "discovery: {e}; it is asked again");
+                    Ok(Err(e)) if logged_at.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) => {
+                        logged_at = Some(Instant::now());
+                        note!(warn: "discovery: {e}; retrying");
                     }
                     Ok(Err(_)) | Err(_) => {}
                 },
                 () = sleep_until(next), if self.pushed || calls.is_empty() => {
                     let address = self.address;
                     let pushed = self.pushed;
-                    calls.spawn_local(async move { open(address, after, pushed).await });
+                    calls.spawn_local(async move { open_watch(address, after, pushed).await });
                     let now = Instant::now();
-                    (self.asked, next) = (Some(now), now + wait);
+                    (self.last_call, next) = (Some(now), now + wait);
                     if !self.pushed {
                         wait = (wait * 2).min(BACKOFF.1);
                     }
                 }
-                line = next_of(&mut old) => match line.map(|line| assembly.push(&line)) {
-                    Some(Item::Whole(list) | Item::Torn(_, Some(list))) => {
+                line = next_line(&mut old) => match line.map(|line| assembly.push(&line)) {
+                    Some(LineResult::Complete(list) | LineResult::Truncated(_, Some(list))) => {
                         let began = old_began.unwrap_or(self.start);
-                        if self.take(list, true, began).is_err() {
+                        if self.apply(list, true, began).is_err() {
                             old = None;
                         }
                     }
@@ -321,25 +328,26 @@
         None
     }
 
-    /// Versions have fallen. A service that mixes two lists would have each proxy ask it again and again.
-    fn note_regression(&mut self) {
-        let is_calm = self.regressed_at.is_none_or(|at| at.elapsed() >= CALM);
+    /// Records that versions went backwards. Without the count, a service that mixes two lists would be called again and
+    /// again by each proxy.
+    fn record_regression(&mut self) {
+        let is_calm = self.regressed_at.is_none_or(|at| at.elapsed() >= REGRESSION_RESET);
         self.regressions = if is_calm { 1 } else { self.regressions.saturating_add(1) };
         self.regressed_at = Some(Instant::now());
     }
 
-    /// Between two calls where each costs discovery something: longer while its versions keep falling.
+    /// Wait between two calls where each costs discovery something; it grows while versions keep going backwards.
     fn backoff(&self) -> Duration {
-        let is_calm = self.regressed_at.is_none_or(|at| at.elapsed() >= CALM);
+        let is_calm = self.regressed_at.is_none_or(|at| at.elapsed() >= REGRESSION_RESET);
         let doublings = if is_calm { 0 } else { self.regressions.min(MAX_DOUBLINGS) };
         (BACKOFF.0 * 2u32.pow(doublings)).min(BACKOFF.1)
     }
 
-    /// Takes a list that came on a call which began then. Behind a `gap` changes count, but a watch resumes from the last
-    /// list before it.
-    fn take(&mut self, list: List, gap: bool, call_began: Instant) -> Result<(), Trouble> {
-        if self.is_past() {
-            return Err(Trouble::Useless("discovery has moved".into()));
+    /// Applies a list that arrived on a call begun at `call_began`. Changes after a `gap` are applied, but a watch resumes
+    /// from the last list before the gap.
+    fn apply(&mut self, list: List, gap: bool, call_began: Instant) -> Result<(), WatchError> {
+        if self.is_superseded() {
+            return Err(WatchError::Unusable("discovery has moved".into()));
         }
         let hosts = list.entries();
         let arrived = Arrived {
@@ -351,30 +359,36 @@
         };
         let held = self.order.held();
         let verdict = self.order.judge(self.start.elapsed(), arrived);
-        note_list(&list, &hosts, verdict);
+        log_list(&list, &hosts, verdict);
         let scope = if list.whole { Scope::Full } else { Scope::Delta };
         match verdict {
-            Verdict::Baseless => return Err(Trouble::Useless("changes without a list".into())),
+            Verdict::Baseless => {
+                return Err(WatchError::Unusable("changes arrived before any full list".into()));
+            }
             Verdict::Repeated => return Ok(()),
             Verdict::Newer => self.inbox.put(Input::List(scope, hosts)),
             Verdict::Uncertain { ask_again: false } => self.inbox.put(Input::UncertainList(scope, hosts)),
             Verdict::Uncertain { ask_again: true } => {
-                // What it leaves out may have come after it: only what it names counts.
+                // Backends that it omits may have been added after it: only those that it names count.
                 self.inbox.put(Input::UncertainList(Scope::Delta, hosts));
-                self.note_regression();
-                return Err(Trouble::Regressed(format!("{} after {}", list.seq, held.unwrap_or_default())));
+                self.record_regression();
+                return Err(WatchError::Regressed(format!(
+                    "{} after {}",
+                    list.seq,
+                    held.unwrap_or_default()
+                )));
             }
         }
-        self.believed.set(self.number);
-        if let Some(told) = self.told.take() {
-            let _ = told.send(()); // nobody waits for it while the process ends
+        self.active_number.set(self.number);
+        if let Some(first_list) = self.first_list.take() {
+            let _ = first_list.send(()); // the receiver is gone while the process ends
         }
         Ok(())
     }
 }
 
-/// Logs what a list says.
-fn note_list(list: &List, hosts: &[Host], verdict: Verdict) {
+/// Logs a summary of a list.
+fn log_list(list: &List, hosts: &[Host], verdict: Verdict) {
     let count = |health: &str| hosts.iter().filter(|h| h.health == health).count();
     let form = if list.whole { "the whole list" } else { "changes" };
     let (up, draining, removed) = (count("up"), count("draining"), count("removed"));
@@ -391,42 +405,42 @@
     );
 }
 
-/// The next line of a watch; never, where there is none.
-async fn next_of(lines: &mut Option<Lines>) -> Option<Vec<u8>> {
+/// The next line of a watch; pending for ever without a watch.
+async fn next_line(lines: &mut Option<Lines>) -> Option<Vec<u8>> {
     match lines {
         Some(lines) => lines.next().await.ok().flatten(),
         None => std::future::pending().await,
     }
 }
 
-/// What is wrong with a watch.
+/// Why a watch is no longer used.
 #[derive(Debug, thiserror::Error)]
-enum Trouble {
-    /// A line can't be read, and may hide a change.
-    #[error("a broken line: {0}")]
-    Broken(String),
-    /// Versions have fallen: an old list was repeated, or the service counts anew.
+enum WatchError {
+    /// A line can't be parsed and may hide a change.
+    #[error("a malformed line: {0}")]
+    Malformed(String),
+    /// Versions went backwards: an old list was repeated, or the service restarted its count.
     #[error("version {0}")]
     Regressed(String),
-    /// No sign of life.
+    /// No heartbeat arrived in time.
     #[error("the watch is silent")]
     Silent,
-    /// It has ended.
+    /// The watch has ended.
     #[error("{0}")]
-    Over(String),
-    /// Nothing on it can be used.
+    Ended(String),
+    /// Nothing on the watch can be used.
     #[error("{0}")]
-    Useless(String),
+    Unusable(String),
 }
 
-/// Asks for the whole list once.
+/// Requests the full list once.
 pub async fn fetch(address: SocketAddr, inbox: Inbox) {
-    let list = timeout(SILENCE, async {
+    let list = timeout(HEARTBEAT_TIMEOUT, async {
         let body = get(address, "").await?.rest().await?;
-        serde_json::from_slice::<List>(&body).map_err(|e| format!("a broken list: {e}"))
+        serde_json::from_slice::<List>(&body).map_err(|e| format!("a malformed list: {e}"))
     });
     match list.await.unwrap_or_else(|_| Err("no answer".into())) {
-        // It may have been on its way for longer than the news of a watch.
+        // It may be older than changes that a watch has delivered meanwhile.
         Ok(list) => inbox.put(Input::UncertainList(Scope::Full, list.entries())),
         Err(e) => {
             note!(warn: "discovery: {e}");
--- a/crates/sandgap/src/drains.rs
+++ b/crates/sandgap/src/drains.rs
@@ -1,5 +1,5 @@
-//! Drains by hand over a list from discovery: a backend that the agreed rules drain stays drained, whatever the list
-//! says of it, and takes work again when both say so.
+//! Applies manual drains to a list from discovery. A backend that the agreed rules drain stays drained whatever the list
+//! reports, and is used again once both the rules and the list allow it.
 
 use std::collections::BTreeSet;
 
@@ -8,42 +8,42 @@
 
 use crate::event::Host;
 
-/// Lines of the list that are remembered, so that a drain that ends can put them in force again. Discovery's own
-/// bound on a list is far below.
-const LINES: usize = 20_000;
+/// Maximum number of remembered list entries, which are restored when a drain ends. Discovery's own limit on a list is
+/// far lower.
+const MAX_ENTRIES: usize = 20_000;
 
-/// What is drained, and what the list says.
+/// Manually drained backends and the list's last entries.
 #[derive(Default)]
 pub struct Drains {
     names: BTreeSet<String>,
-    /// The list's last word on each backend, before any drain.
-    lines: FxHashMap<String, Host>,
+    /// The last entry of each backend in the list, without drains.
+    entries: FxHashMap<String, Host>,
 }
 
 impl Drains {
-    /// Puts the drains over news of the list, and remembers what it said.
+    /// Applies the drains to a list update and remembers the original entries.
     pub fn overlay(&mut self, scope: Scope, hosts: &mut [Host]) {
         if matches!(scope, Scope::Full | Scope::Cached) {
-            self.lines.clear();
+            self.entries.clear();
         }
         for host in hosts {
             if host.health == "removed" {
-                self.lines.remove(&host.host);
-            } else if self.lines.len() < LINES || self.lines.contains_key(&host.host) {
-                self.lines.insert(host.host.clone(), host.clone());
+                self.entries.remove(&host.host);
+            } else if self.entries.len() < MAX_ENTRIES || self.entries.contains_key(&host.host) {
+                self.entries.insert(host.host.clone(), host.clone());
             }
             self.drain(host);
         }
     }
 
-    /// Takes over another set of drains; returns the lines that it changes.
+    /// Replaces the set of drains and returns the entries that change.
     pub fn change(&mut self, names: BTreeSet<String>) -> Vec<Host> {
         let before = std::mem::replace(&mut self.names, names);
         let changed: Vec<&String> = before.symmetric_difference(&self.names).collect();
-        let lines = changed.into_iter().filter_map(|name| self.lines.get(name)).cloned();
-        let mut lines: Vec<Host> = lines.collect();
-        lines.iter_mut().for_each(|line| self.drain(line));
-        lines
+        let entries = changed.into_iter().filter_map(|name| self.entries.get(name)).cloned();
+        let mut entries: Vec<Host> = entries.collect();
+        entries.iter_mut().for_each(|entry| self.drain(entry));
+        entries
     }
 
     fn drain(&self, host: &mut Host) {
@@ -70,24 +70,24 @@
         }
     }
 
-    fn told(lines: &[Host]) -> Vec<(&str, &str)> {
-        lines.iter().map(|h| (h.host.as_str(), h.health.as_str())).collect()
+    fn states(entries: &[Host]) -> Vec<(&str, &str)> {
+        entries.iter().map(|h| (h.host.as_str(), h.health.as_str())).collect()
     }
 
     #[test]
-    fn a_list_never_takes_back_a_drain_by_hand() {
+    fn a_list_update_never_ends_a_manual_drain() {
         let mut drains = Drains::default();
         let mut list = [host("a", "up"), host("b", "up")];
         drains.overlay(Scope::Full, &mut list);
-        assert_eq!(told(&drains.change(["a".to_owned()].into())), [("a", "draining")]);
-        let mut news = [host("a", "up"), host("b", "draining")];
-        drains.overlay(Scope::Delta, &mut news);
-        assert_eq!(told(&news), [("a", "draining"), ("b", "draining")]);
-        assert_eq!(told(&drains.change(BTreeSet::new())), [("a", "up")]);
+        assert_eq!(states(&drains.change(["a".to_owned()].into())), [("a", "draining")]);
+        let mut update = [host("a", "up"), host("b", "draining")];
+        drains.overlay(Scope::Delta, &mut update);
+        assert_eq!(states(&update), [("a", "draining"), ("b", "draining")]);
+        assert_eq!(states(&drains.change(BTreeSet::new())), [("a", "up")]);
     }
 
     #[test]
-    fn what_left_the_list_is_not_brought_back() {
+    fn a_removed_backend_is_not_restored() {
         let mut drains = Drains::default();
         drains.change(["a".to_owned()].into());
         drains.overlay(Scope::Full, &mut [host("a", "up")]);
--- a/crates/sandgap/src/generation.rs
+++ b/crates/sandgap/src/generation.rs
@@ -1,5 +1,5 @@
-//! Settings as immutable generations. A request holds the one under which it was taken; a class whose rules change
-//! gets another number, and a number is given anew only once no generation holds it.
+//! Settings as immutable generations. A request holds the generation under which it was admitted. A class whose rules
+//! change gets another number, and a number is reused only once no live generation holds it.
 
 use std::rc::{Rc, Weak};
 
@@ -7,30 +7,31 @@
 use wharfhitch::settings::Names;
 use wharfhitch::{Change, Class, ClassId, Settings, Tenant, TenantId};
 
-/// Class numbers at once, of all generations that open requests still hold. The module keeps a few words for each
-/// number at each backend.
-const CLASSES: usize = 256;
-/// Tenants ever named, in a process. Their numbers are kept, as the module counts what each has asked for.
+/// Maximum number of class numbers in use, over all generations that open requests still hold. The decision library
+/// keeps a few machine words for each number at each backend.
+const MAX_CLASSES: usize = 256;
+/// Maximum number of tenants named in the life of a process. Their numbers are never reused, because the decision
+/// library counts each tenant's requests by number.
 pub const MAX_TENANTS: usize = 65_536;
 
-/// What is in force for the requests that come.
+/// The classes and tenants in force for new requests.
 pub struct Generation {
     classes: Vec<(String, ClassId, Class)>,
     tenants: FxHashMap<String, TenantId>,
 }
 
 impl Generation {
-    /// The class of a name.
+    /// The class with this name.
     pub fn class(&self, name: &str) -> Option<(ClassId, &Class)> {
         self.classes.iter().find(|(n, ..)| n == name).map(|(_, id, class)| (*id, class))
     }
 
-    /// The tenant of a name.
+    /// The tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).copied()
     }
 
-    /// Whether requests have to name a tenant.
+    /// Whether requests must name a tenant.
     pub fn has_tenants(&self) -> bool {
         !self.tenants.is_empty()
     }
@@ -40,21 +41,21 @@
     }
 }
 
-/// The generation in force and those that open requests hold.
+/// The generation in force and those that open requests still hold.
 pub struct Generations {
     current: Rc<Generation>,
     past: Vec<Weak<Generation>>,
-    /// By number, the rules given last.
+    /// The latest rules by class number.
     table: Vec<Class>,
     max_attempts: u32,
-    /// All that were ever named, by number, and their numbers.
+    /// All tenants named since the start, by number; `tenant_ids` has their numbers by name.
     tenants: Vec<Tenant>,
     tenant_ids: FxHashMap<String, TenantId>,
     longest: f64,
 }
 
 impl Generations {
-    /// The first generation: numbers are those of the settings.
+    /// The first generation, with the numbers of the settings.
     pub fn new(settings: &Settings, names: &Names) -> Self {
         let named = names.classes.iter().cloned().zip(settings.classes.iter().cloned());
         let classes = named.enumerate().map(|(i, (name, class))| (name, ClassId(i), class)).collect();
@@ -67,11 +68,11 @@
             max_attempts: settings.limits.max_attempts,
             tenants: settings.tenants.clone(),
             tenant_ids,
-            longest: longest(&settings.classes),
+            longest: longest_deadline(&settings.classes),
         }
     }
 
-    /// What is in force.
+    /// The generation in force.
     pub fn current(&self) -> &Rc<Generation> {
         &self.current
     }
@@ -86,21 +87,22 @@
     /// # Errors
     /// See [`Generations::change`].
     pub fn fits(&self, settings: &Settings, names: &Names) -> Result<(), String> {
-        self.number(settings, names).map(drop)?;
-        self.room_for_tenants(names)
+        self.assign_class_numbers(settings, names).map(drop)?;
+        self.check_tenant_limit(names)
     }
 
-    /// Puts other settings in force and returns what the module has to be told.
+    /// Puts other settings in force and returns the change for the decision library.
     ///
     /// # Errors
-    /// Where open requests hold too many classes; nothing has changed then.
+    /// If open requests hold too many classes or too many tenants have been named; the rules in force stay then.
     pub fn change(&mut self, settings: &Settings, names: &Names) -> Result<Change, String> {
         self.past.retain(|g| g.strong_count() > 0);
-        let (classes, fresh) = self.number(settings, names)?;
-        let tenants = self.number_tenants(settings, names)?;
-        self.table.resize_with(self.table.len().max(1 + top(&classes)), || settings.classes[0].clone());
+        let (classes, fresh) = self.assign_class_numbers(settings, names)?;
+        let tenants = self.assign_tenant_numbers(settings, names)?;
+        self.table
+            .resize_with(self.table.len().max(1 + highest_id(&classes)), || settings.classes[0].clone());
         classes.iter().for_each(|(_, id, class)| self.table[id.0] = class.clone());
-        self.longest = self.longest.max(longest(&settings.classes));
+        self.longest = self.longest.max(longest_deadline(&settings.classes));
         self.max_attempts = settings.limits.max_attempts;
         let new = Rc::new(Generation { classes, tenants });
         self.past.push(Rc::downgrade(&std::mem::replace(&mut self.current, new)));
@@ -111,10 +113,10 @@
         Ok(Change { settings, live, fresh })
     }
 
-    /// A number for each class: its old one where nothing about it has changed. A new one takes over what was
-    /// learned if the class is known by that name and repeats as before.
+    /// Assigns a number to each class: its old one if nothing about the class has changed. A new number inherits the
+    /// learned state if a class of the same name and effect is in force.
     #[allow(clippy::type_complexity)]
-    fn number(
+    fn assign_class_numbers(
         &self, settings: &Settings, names: &Names,
     ) -> Result<(Vec<(String, ClassId, Class)>, Vec<(ClassId, Option<ClassId>)>), String> {
         let held: Vec<Rc<Generation>> = self.past.iter().filter_map(Weak::upgrade).collect();
@@ -130,12 +132,13 @@
                             || held.iter().any(|g| g.holds(*id))
                             || classes.iter().any(|(_, other, _)| other == id)
                     };
-                    let id = (0..CLASSES).map(ClassId).find(|id| !taken(id));
+                    let id = (0..MAX_CLASSES).map(ClassId).find(|id| !taken(id));
                     let id = id.ok_or(format!(
-                        "open requests hold the rules of {CLASSES} classes; try again when some have ended"
+                        "open requests hold the rules of {MAX_CLASSES} classes; try again when some have ended"
                     ))?;
-                    let like = before.filter(|(_, old)| old.effect == class.effect).map(|(id, _)| id);
-                    fresh.push((id, like));
+                    let inherits_from =
+                        before.filter(|(_, old)| old.effect == class.effect).map(|(id, _)| id);
+                    fresh.push((id, inherits_from));
                     id
                 }
             };
@@ -144,7 +147,7 @@
         Ok((classes, fresh))
     }
 
-    fn room_for_tenants(&self, names: &Names) -> Result<(), String> {
+    fn check_tenant_limit(&self, names: &Names) -> Result<(), String> {
         let new = names.tenants.iter().filter(|name| !self.tenant_ids.contains_key(*name)).count();
         if self.tenants.len() + new > MAX_TENANTS {
             return Err(format!(
@@ -154,10 +157,10 @@
         Ok(())
     }
 
-    fn number_tenants(
+    fn assign_tenant_numbers(
         &mut self, settings: &Settings, names: &Names,
     ) -> Result<FxHashMap<String, TenantId>, String> {
-        self.room_for_tenants(names)?;
+        self.check_tenant_limit(names)?;
         let mut tenants = FxHashMap::default();
         for (name, tenant) in names.tenants.iter().zip(&settings.tenants) {
             let next = TenantId(self.tenants.len());
@@ -172,11 +175,11 @@
     }
 }
 
-fn top(classes: &[(String, ClassId, Class)]) -> usize {
+fn highest_id(classes: &[(String, ClassId, Class)]) -> usize {
     classes.iter().map(|(_, id, _)| id.0).max().unwrap_or(0)
 }
 
-fn longest(classes: &[Class]) -> f64 {
+fn longest_deadline(classes: &[Class]) -> f64 {
     classes.iter().map(|c| c.deadline).fold(0.0, f64::max)
 }
 
@@ -206,49 +209,53 @@
     }
 
     #[test]
-    fn what_has_not_changed_keeps_its_number() {
+    fn an_unchanged_class_keeps_its_number() {
         let mut g = start(&[("page", "idempotent", 900.0), ("submit", "unsafe", 900.0)]);
-        let told = change(&mut g, &[("submit", "unsafe", 900.0), ("page", "idempotent", 800.0)], 3);
+        let change_sent = change(&mut g, &[("submit", "unsafe", 900.0), ("page", "idempotent", 800.0)], 3);
         assert_eq!(g.current().class("submit").expect("there").0, ClassId(1));
-        assert_eq!(told.fresh, [(ClassId(2), Some(ClassId(0)))], "other figures, the same thing");
-        assert_eq!(told.live, [false, true, true]);
-        assert_eq!(told.settings.classes[0].deadline, 900.0, "who came before keeps the old figures");
+        assert_eq!(
+            change_sent.fresh,
+            [(ClassId(2), Some(ClassId(0)))],
+            "a changed deadline inherits the learned state"
+        );
+        assert_eq!(change_sent.live, [false, true, true]);
+        assert_eq!(change_sent.settings.classes[0].deadline, 900.0, "earlier requests keep the old deadline");
         assert_eq!(g.longest(), 900.0);
     }
 
     #[test]
-    fn another_effect_is_another_class_and_fewer_attempts_concern_all() {
+    fn a_new_effect_or_attempt_limit_gives_a_new_number() {
         let mut g = start(&[("page", "idempotent", 900.0)]);
         assert_eq!(change(&mut g, &[("page", "unsafe", 900.0)], 3).fresh, [(ClassId(1), None)]);
         assert_eq!(change(&mut g, &[("page", "unsafe", 900.0)], 2).fresh, [(ClassId(0), Some(ClassId(1)))]);
     }
 
     #[test]
-    fn a_number_that_a_request_holds_is_not_given_anew() {
+    fn a_number_that_a_request_holds_is_not_reused() {
         let mut g = start(&[("page", "idempotent", 900.0)]);
         let held = g.current().clone();
         for round in 0..40 {
             let effect = if round % 2 == 0 { "unsafe" } else { "idempotent" };
-            let told = change(&mut g, &[("page", effect, 900.0)], 3);
-            assert_ne!(told.fresh[0].0, ClassId(0), "round {round}");
-            assert!(told.live.len() <= 3, "numbers are given anew once they are free");
+            let change_sent = change(&mut g, &[("page", effect, 900.0)], 3);
+            assert_ne!(change_sent.fresh[0].0, ClassId(0), "round {round}");
+            assert!(change_sent.live.len() <= 3, "numbers are reused once they are free");
         }
         drop(held);
-        let told = change(&mut g, &[("other", "unsafe", 900.0)], 3);
-        assert_eq!(told.fresh, [(ClassId(0), None)]);
+        let change_sent = change(&mut g, &[("other", "unsafe", 900.0)], 3);
+        assert_eq!(change_sent.fresh, [(ClassId(0), None)]);
     }
 
     #[test]
     fn too_many_held_classes_change_nothing() {
         let mut g = start(&[("page", "idempotent", 900.0)]);
         let mut held = vec![g.current().clone()];
-        for round in 1..CLASSES {
+        for round in 1..MAX_CLASSES {
             change(&mut g, &[("page", "idempotent", 900.0 + round as f64)], 3);
             held.push(g.current().clone());
         }
         let (next, names) = settings(&[("page", "unsafe", 5.0)], 3);
         assert!(g.change(&next, &names).is_err());
-        assert_eq!(g.current().class("page").expect("there").1.deadline, 900.0 + (CLASSES - 1) as f64);
+        assert_eq!(g.current().class("page").expect("there").1.deadline, 900.0 + (MAX_CLASSES - 1) as f64);
         held.clear();
         assert!(g.change(&next, &names).is_ok());
     }
--- a/crates/sandgap/src/peers.rs
+++ b/crates/sandgap/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between proxies: short, unordered, perhaps lost.
+//! UDP datagrams between proxies: short, unordered and possibly lost.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,36 +14,36 @@
 use crate::event::{Inbox, Input};
 use crate::note;
 
-/// Bytes of a message, by the protocol.
+/// Maximum size of a message in the protocol, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// Datagrams that wait to be handed to the process beside this one; more are lost, as on the way.
-const RELAYED: usize = 64;
+/// Queue capacity for datagrams relayed to the other process of an upgrade; more are lost, as on the network.
+const RELAY_QUEUE: usize = 64;
 
 /// A datagram and the number of the proxy that sent it.
 pub type Datagram = (u32, Vec<u8>);
 
-/// Sends to the other proxies.
+/// The socket for messages to and from the other proxies.
 pub struct Peers {
     socket: UdpSocket,
-    /// What is sent here reaches every other proxy.
+    /// Messages to this address reach every other proxy.
     all: SocketAddr,
-    /// The numbers of the proxies by their addresses.
+    /// Proxy numbers by address.
     numbers: FxHashMap<SocketAddr, u32>,
-    /// This proxy's own number, under which the process beside it hears it.
+    /// This proxy's own number, the sender in datagrams that it relays to the other process of an upgrade.
     me: u32,
-    /// Whether this process reads the socket; another that shares it may.
+    /// Whether this process reads the socket; during an upgrade the process that shares it may read instead.
     reads: Cell<bool>,
     changed: Notify,
-    /// To the process beside this one, while an upgrade lasts.
+    /// Queue to the other process while an upgrade lasts.
     relay: RefCell<Option<mpsc::Sender<Datagram>>>,
 }
 
 impl Peers {
-    /// Takes over a socket from [`bind`], or one that the process before has handed on; that process `reads` it until
-    /// this one serves.
+    /// Uses a socket from [`bind`], or one handed over by the previous process. `reads` tells whether this process reads
+    /// it; a previous process reads it until this one serves.
     ///
     /// # Errors
-    /// The system's, where the socket can't be used.
+    /// The system's error if the socket can't be used.
     pub fn new(addresses: PeerAddresses, me: u32, socket: StdSocket, reads: bool) -> io::Result<Rc<Self>> {
         let reads = Cell::new(reads);
         socket.set_nonblocking(true)?;
@@ -53,63 +53,63 @@
         Ok(Rc::new(Peers { socket, all: addresses.all, numbers, me, reads, changed, relay }))
     }
 
-    /// The socket, to be handed on.
+    /// The socket, to be handed over.
     pub fn socket(&self) -> &UdpSocket {
         &self.socket
     }
 
-    /// Whether this process reads the socket from now on.
+    /// Sets whether this process reads the socket.
     pub fn read(&self, reads: bool) {
         self.reads.set(reads);
         self.changed.notify_one();
     }
 
-    /// Hands all that is heard and told to the process beside this one, until [`Peers::unrelay`].
+    /// Relays all received and sent datagrams to the other process of an upgrade, until [`Peers::unrelay`].
     pub fn relay(&self) -> mpsc::Receiver<Datagram> {
-        let (sender, receiver) = mpsc::channel(RELAYED);
+        let (sender, receiver) = mpsc::channel(RELAY_QUEUE);
         self.relay.replace(Some(sender));
         receiver
     }
 
-    /// Ends what [`Peers::relay`] began.
+    /// Stops the relay that [`Peers::relay`] started.
     pub fn unrelay(&self) {
         self.relay.replace(None);
     }
 
-    fn pass_on(&self, from: u32, bytes: &[u8]) {
+    fn relay_datagram(&self, from: u32, bytes: &[u8]) {
         if let Some(relay) = &*self.relay.borrow() {
             let _ = relay.try_send((from, bytes.to_vec())); // a datagram may always be lost
         }
     }
 
-    /// Tells every other proxy. What the socket can't take at once is lost, as on the way.
+    /// Sends a message to every other proxy. What the socket can't accept at once is lost, as on the network.
     pub fn tell(&self, bytes: &[u8]) {
         if bytes.len() > MAX_MESSAGE_BYTES {
-            return note!(warn: "a message of {} bytes is not sent", bytes.len());
+            return note!(warn: "peers: a message of {} bytes is not sent; the limit is {MAX_MESSAGE_BYTES} bytes", bytes.len());
         }
-        self.pass_on(self.me, bytes);
+        self.relay_datagram(self.me, bytes);
         if let Err(e) = self.socket.try_send_to(bytes, self.all) {
             note!(warn: "peers: {e}");
         }
     }
 
-    /// Hands on what the others send; a datagram from elsewhere or over the size is dropped.
+    /// Receives datagrams of the other proxies; one from an unknown address or over the size limit is dropped.
     pub async fn listen(self: Rc<Self>, inbox: Inbox) {
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
-            let heard = tokio::select! {
-                heard = self.socket.recv_from(&mut buffer), if self.reads.get() => heard,
+            let received = tokio::select! {
+                received = self.socket.recv_from(&mut buffer), if self.reads.get() => received,
                 () = self.changed.notified() => continue,
             };
-            match heard {
+            match received {
                 Ok((size, from)) => match self.numbers.get(&from) {
                     Some(&number) if size <= MAX_MESSAGE_BYTES => {
-                        self.pass_on(number, &buffer[..size]);
+                        self.relay_datagram(number, &buffer[..size]);
                         inbox.put(Input::Datagram { from: number, bytes: buffer[..size].to_vec() });
                     }
                     _ => note!(warn: "a datagram of {size} bytes or more from {from} is dropped"),
                 },
-                // An earlier send's refusal may be reported here.
+                // The error of an earlier send may be reported here.
                 Err(e) => {
                     note!(warn: "peers: {e}");
                     tokio::time::sleep(std::time::Duration::from_millis(10)).await;
@@ -119,10 +119,10 @@
     }
 }
 
-/// Binds a socket for datagrams. Two processes may bind the same address while an upgrade lasts.
+/// Binds a datagram socket. Two processes may bind the same address while an upgrade lasts.
 ///
 /// # Errors
-/// The system's, where the address can't be used.
+/// The system's error if the address can't be used.
 pub fn bind(address: SocketAddr) -> io::Result<StdSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_reuse_port(true)?;
