--- a/crates/sandgap/src/admin.rs
+++ b/crates/sandgap/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin address: one line in, one line out, the connection closed.
+//! The admin address: a connection carries one request line and one answer line.
 
 use std::collections::VecDeque;
 use std::io;
@@ -19,22 +19,24 @@
 use crate::serving::{Serving, State};
 use crate::socket;
 
-/// Connections at once, each a descriptor of the reserve: the oldest without a whole call gives way.
-pub const CALLERS: usize = 8;
-/// Bytes of a line, its end included: calls are a word.
-const LINE: usize = 256;
-/// A caller that has said nothing whole by then is told so.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// What a caller still sends is read for this long, lest a reset overtake the answer.
+/// Maximum number of connections, which use reserved descriptors. At the limit the oldest connection without a complete
+/// call is closed.
+pub const MAX_CALLERS: usize = 8;
+/// Maximum line length in bytes, line end included; a call is one word.
+const MAX_LINE: usize = 256;
+/// Timeout for a complete call; the caller then gets an error.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Remaining input is read for this long after the answer, since closing with unread input would send a reset that may
+/// discard the answer.
 const LINGER: Duration = Duration::from_millis(200);
-/// Wait after a failed accept, lest it spin.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Wait after a failed accept, to avoid a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Reads a call from what has come, if that is enough to tell; `ended` says that no more comes.
-fn line(bytes: &[u8], ended: bool) -> Option<Result<&str, &'static str>> {
+/// Parses a call from the bytes so far; `None` if more are needed. `ended` means that no more will arrive.
+fn parse_line(bytes: &[u8], ended: bool) -> Option<Result<&str, &'static str>> {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return match bytes.len() {
-            LINE.. => Some(Err("the line is too long")),
+            MAX_LINE.. => Some(Err("the line is too long")),
             _ if ended => Some(Err("the line has no end")),
             _ => None,
         };
@@ -45,7 +47,7 @@
     Some(std::str::from_utf8(&bytes[..end]).map(str::trim).map_err(|_| "the line is no text"))
 }
 
-/// Carries out a call; the answer is a line.
+/// Carries out a call and returns the answer line.
 fn answer(call: Result<&str, &'static str>, serving: &Serving, diagnostics: &Diagnostics) -> String {
     match call {
         Ok("counters") => format!("200 {}", diagnostics.summary()),
@@ -72,33 +74,34 @@
     }
 }
 
-async fn hear(stream: &mut SharedStream<TcpStream>) -> io::Result<Result<String, &'static str>> {
-    let mut bytes = [0; LINE];
-    let mut have = 0;
+async fn read_call(stream: &mut SharedStream<TcpStream>) -> io::Result<Result<String, &'static str>> {
+    let mut bytes = [0; MAX_LINE];
+    let mut filled = 0;
     loop {
-        let n = stream.read(&mut bytes[have..]).await?;
-        have += n;
-        if let Some(call) = line(&bytes[..have], n == 0) {
+        let n = stream.read(&mut bytes[filled..]).await?;
+        filled += n;
+        if let Some(call) = parse_line(&bytes[..filled], n == 0) {
             return Ok(call.map(str::to_owned));
         }
     }
 }
 
 async fn serve_one(
-    stream: TcpStream, heard: impl FnOnce(), serving: Rc<Serving>, diagnostics: Rc<Diagnostics>,
+    stream: TcpStream, call_complete: impl FnOnce(), serving: Rc<Serving>, diagnostics: Rc<Diagnostics>,
 ) -> io::Result<()> {
     let mut stream = SharedStream::from(stream);
-    let call = timeout(PATIENCE, hear(&mut stream)).await.unwrap_or(Ok(Err("no whole line in time")))?;
-    heard();
+    let call =
+        timeout(CALL_TIMEOUT, read_call(&mut stream)).await.unwrap_or(Ok(Err("no whole line in time")))?;
+    call_complete();
     let text = answer(call.as_deref().map_err(|e| *e), &serving, &diagnostics) + "\n";
     stream.write_all(text.as_bytes()).await?;
     SockRef::from(&*stream).shutdown(Shutdown::Write)?;
-    let mut rest = [0; LINE];
+    let mut rest = [0; MAX_LINE];
     let _ = timeout(LINGER, async { while matches!(stream.read(&mut rest).await, Ok(1..)) {} }).await;
     Ok(())
 }
 
-/// Answers callers for as long as the process runs. The answer to a call stands before it takes effect anywhere else.
+/// Answers admin calls for as long as the process runs. A call has taken effect when its answer is sent.
 pub async fn serve(listener: TcpListener, serving: Rc<Serving>, diagnostics: Rc<Diagnostics>) {
     let callers: Rc<std::cell::RefCell<VecDeque<(u64, AbortHandle)>>> = Rc::default();
     for number in 0.. {
@@ -106,31 +109,31 @@
             Ok((stream, _)) => stream,
             Err(e) => {
                 note!(warn: "admin: {e}");
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let mut all = callers.borrow_mut();
         all.retain(|(_, task)| !task.is_finished());
-        if all.len() >= CALLERS
+        if all.len() >= MAX_CALLERS
             && let Some((_, oldest)) = all.pop_front()
         {
             oldest.abort();
         }
-        // Whoever has made a whole call gives way to nobody.
-        let forget = {
+        // A caller with a complete call is no longer closed in favour of others.
+        let mark_complete = {
             let callers = callers.clone();
             move || callers.borrow_mut().retain(|(n, _)| *n != number)
         };
         let (serving, diagnostics) = (serving.clone(), diagnostics.clone());
         let task = spawn_local(async move {
-            let _ = serve_one(stream, forget, serving, diagnostics).await; // a caller that has left needs no answer
+            let _ = serve_one(stream, mark_complete, serving, diagnostics).await; // errors mean that the caller has left
         });
         all.push_back((number, task.abort_handle()));
     }
 }
 
-/// Listens for callers. An address that can't be used is logged: the proxy serves without it.
+/// Opens the admin listener. If the address can't be used, that is logged and the proxy serves without it.
 pub async fn listen(address: SocketAddr) -> Option<TcpListener> {
     let on = format!("admin on {address}");
     match retry::until_had(&on, || socket::listen(address)).await {
@@ -140,7 +143,7 @@
             Some(listener)
         }
         Err(e) => {
-            note!(error: "admin: {address} can't be used: {e}; nobody can drain this proxy by hand");
+            note!(error: "admin: {address} can't be used: {e}; this proxy can't be drained by hand");
             None
         }
     }
@@ -151,8 +154,8 @@
     use super::*;
 
     #[test]
-    fn a_line_is_taken_whole_or_refused() {
-        for (bytes, ended, is) in [
+    fn a_line_is_complete_or_rejected() {
+        for (bytes, ended, expected) in [
             (&b""[..], false, None),
             (b"rea", false, None),
             (b"ready\n", false, Some(Ok("ready"))),
@@ -161,14 +164,14 @@
             (b"drain", true, Some(Err("the line has no end"))),
             (b"drain\nresume\n", false, Some(Err("one call a connection"))),
             (b"dr\xffin\n", false, Some(Err("the line is no text"))),
-            (&[b'a'; LINE], false, Some(Err("the line is too long"))),
+            (&[b'a'; MAX_LINE], false, Some(Err("the line is too long"))),
         ] {
-            assert_eq!(line(bytes, ended), is, "{}", String::from_utf8_lossy(bytes));
+            assert_eq!(parse_line(bytes, ended), expected, "{}", String::from_utf8_lossy(bytes));
         }
     }
 
     #[test]
-    fn calls_are_answered_by_the_state() {
+    fn answers_follow_the_serving_state() {
         let (serving, diagnostics) = (Serving::default(), Diagnostics::new(None));
         let ask = |call| answer(Ok(call), &serving, &diagnostics);
         assert!(ask("ready").starts_with("400"));
--- a/crates/sandgap/src/config.rs
+++ b/crates/sandgap/src/config.rs
@@ -1,5 +1,5 @@
-//! What a proxy is told at its start, checked: one type, whichever file it came from. [`crate::platform`] and
-//! [`crate::settings`] read the two kinds of file, [`crate::load`] tells them apart.
+//! The checked start configuration of a proxy: one type for both kinds of file. [`crate::platform`] and
+//! [`crate::settings`] parse the two kinds, [`crate::load`] chooses between them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,17 +16,17 @@
 
 use crate::event::Host;
 
-/// Part of the descriptors that requests may hold. Clients use a third at most; what the module gives up a
-/// little before that leaves room to hear of better requests.
-const HELD: (usize, usize) = (5, 16);
+/// Fraction of the file descriptors that requests may hold. Clients use a third at most; the decision library drops
+/// requests slightly below that, which leaves room to read more valuable ones.
+const HELD_FRACTION: (usize, usize) = (5, 16);
 
 /// Where proxies exchange datagrams.
 pub struct PeerAddresses {
-    /// Where this proxy's datagrams arrive.
+    /// Where this proxy receives datagrams.
     pub listen: SocketAddr,
-    /// One address a proxy, in the order of their numbers.
+    /// One address per proxy, in the order of their numbers.
     pub peers: Vec<SocketAddr>,
-    /// What is sent here reaches every other proxy.
+    /// Datagrams to this address reach every other proxy.
     pub all: SocketAddr,
 }
 
@@ -42,76 +42,76 @@
 /// A fleet of proxies that agree on their rules.
 #[derive(Clone)]
 pub struct Fleet {
-    /// This proxy's name among them.
+    /// This proxy's name in the fleet.
     pub name: String,
-    /// Where it stands.
+    /// This proxy's zone.
     pub zone: Option<String>,
-    /// Where other proxies reach it.
+    /// Where this proxy listens for other proxies.
     pub listen: SocketAddr,
-    /// The key that all share.
+    /// The key that all proxies share.
     pub key: Key,
-    /// The stated time and what follows from it.
+    /// The bound T and the times derived from it.
     pub terms: Terms,
-    /// The voters at the start, by name.
+    /// Names and addresses of the voters at the start.
     pub voters: Vec<(String, SocketAddr)>,
-    /// Where others are dialled from here, if not where they say that they are.
+    /// Addresses at which this proxy dials others, where they differ from the advertised ones.
     pub ways: BTreeMap<String, SocketAddr>,
-    /// A voter's store.
+    /// Path of the voter's store.
     pub store: Option<PathBuf>,
-    /// Where the version acted on is kept for the next start.
+    /// File that keeps the version in force for the next start.
     pub keep: Option<PathBuf>,
-    /// The header that tells backends the version.
+    /// Header that carries the version to backends.
     pub header: Option<HeaderName>,
 }
 
 impl Fleet {
-    /// Whether this proxy is one of the voters that the settings name.
+    /// Whether the settings name this proxy as a voter.
     pub fn votes(&self) -> bool {
         self.voters.iter().any(|(name, _)| *name == self.name)
     }
 }
 
-/// All that the parts of the proxy need to know.
+/// The configuration of one proxy.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The proxy's name, the same after a restart.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where staff call it by hand, if anywhere.
+    /// Address for manual admin calls, if any.
     pub admin: Option<SocketAddr>,
-    /// The directory in which a newer process finds this one, if upgrades are wanted.
+    /// Directory of the upgrade socket, if upgrades are enabled.
     pub upgrade: Option<PathBuf>,
     /// Where the list of backends comes from.
     pub source: Source,
-    /// The source of all chance.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Memory that the process may hold, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory: usize,
-    /// File descriptors that the process may hold.
+    /// File descriptor limit of the process.
     pub sockets: usize,
-    /// After SIGTERM requests are finished for the longest deadline, but no longer than this.
+    /// Upper limit of the time for finishing requests after SIGTERM, which is otherwise the longest deadline.
     pub grace: Duration,
-    /// Where the other proxies are, if they may be told anything.
+    /// Addresses of the other proxies, if messages to them are allowed.
     pub peers: Option<PeerAddresses>,
-    /// The list of backends as last seen, in discovery's form; perhaps old, perhaps nothing.
+    /// The remembered list of backends, in discovery's format; possibly outdated or null.
     pub known: Value,
-    /// What the module is told.
+    /// Settings of the decision library.
     pub settings: Settings,
-    /// The names that its numbers stand for.
+    /// Names for the numbers in the settings.
     pub names: Names,
-    /// Figures of connections.
+    /// Timeouts of connections.
     pub connections: Connections,
-    /// The platform's file as it stands, less what is read at the start alone; a later one is held against it.
-    pub shape: Value,
-    /// Where metrics are written, if anywhere.
+    /// The platform's file without the keys that are read only at the start; a later file is checked against it.
+    pub platform_file: Value,
+    /// File for metrics, if any.
     pub metrics: Option<PathBuf>,
-    /// By class, what is done without a lease on the rules.
+    /// What each class does without a lease on the rules.
     pub on_lapse: Vec<OnLapse>,
-    /// The fleet with which this proxy agrees on its rules, if any.
+    /// The fleet that agrees on rules with this proxy, if any.
     pub fleet: Option<Fleet>,
 }
 
-/// Requests that may be held unanswered with so many descriptors.
-pub fn held(sockets: usize) -> usize {
-    sockets * HELD.0 / HELD.1
+/// Maximum number of unanswered requests for this number of descriptors.
+pub fn max_held_requests(sockets: usize) -> usize {
+    sockets * HELD_FRACTION.0 / HELD_FRACTION.1
 }
--- a/crates/sandgap/src/daemon.rs
+++ b/crates/sandgap/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: one proxy from its configuration until it has finished.
+//! The daemon: runs one proxy from its configuration to the end of its shutdown.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,40 +19,41 @@
 use crate::event::{Host, Inbox, Input};
 use crate::front::{Frontend, UploadLimits};
 use crate::generation::Generations;
-use crate::handover::{self, Taken, Upgrade};
+use crate::handover::{self, ReceivedSockets, Upgrade};
 use crate::rules::{self, Rules};
 use crate::serving::Serving;
 use crate::upstream::Upstreams;
 use crate::view::View;
 use crate::{admin, body, change, discovery, front, load, note, peers, retry};
 
-/// Descriptors for all but clients and backends: standard streams, runtime, signals, listener, UDP, watch, and
-/// those who call by hand.
-const RESERVE: usize = 32;
-const _: () = assert!(admin::CALLERS < RESERVE - 12);
-/// Part of the memory that long requests may hold together, as 1 over it.
-const MEMORY_PART: usize = 4;
-/// Bytes that a long request holds at most: the part that is kept, and a chunk on each side.
-const UPLOAD: usize = body::WHOLE + 2 * (32 << 10);
-/// Part of the memory, as 1 over it, into which they may read ahead besides, while they wait for a backend.
-const READ_AHEAD_PART: usize = 8;
-/// The environment's variable that names a file for the trace of events.
-const TRACE: &str = "SANDGAP_TRACE";
-/// What a reload changes.
+/// Descriptors reserved for everything except clients and backends: standard streams, runtime, signals, listener, UDP,
+/// the discovery watch and admin calls.
+const RESERVED_DESCRIPTORS: usize = 32;
+const _: () = assert!(admin::MAX_CALLERS < RESERVED_DESCRIPTORS - 12);
+/// Divisor of the memory limit that gives the total memory for long requests.
+const UPLOAD_MEMORY_DIVISOR: usize = 4;
+/// Maximum memory of one long request in bytes: the part kept for retries, and a chunk on each side.
+const MAX_UPLOAD_BYTES: usize = body::WHOLE + 2 * (32 << 10);
+/// Divisor of the memory limit that gives the memory for further read-ahead of long requests that wait for a backend.
+const READ_AHEAD_DIVISOR: usize = 8;
+/// Environment variable that names a file for the event trace.
+const TRACE_VARIABLE: &str = "SANDGAP_TRACE";
+
+/// The state that a reload reads and changes.
 struct Reload {
     path: PathBuf,
-    /// The platform's file in force.
-    shape: Value,
+    /// The platform's file in force, or null for sandgap's own settings.
+    platform_file: Value,
     fixed: Fixed,
     discovery: Option<watch::Sender<SocketAddr>>,
     inbox: Inbox,
     front: Rc<Frontend>,
     upstreams: Rc<Upstreams>,
-    /// Rules are the fleet's to change, and no file's.
+    /// Whether rules are agreed by the fleet, so that no file changes them.
     agreed: bool,
 }
 
-/// What stays as it was at the start.
+/// Settings that only a restart changes.
 #[derive(PartialEq)]
 struct Fixed {
     listen: SocketAddr,
@@ -76,38 +77,39 @@
 }
 
 impl Reload {
-    /// At each SIGHUP reads the configuration's file again, and uses all of it or none.
+    /// Reads the configuration file again at each SIGHUP, and applies all of it or nothing.
     async fn run(mut self, mut hup: Signal) {
         while hup.recv().await.is_some() {
-            if let Err(e) = load::read(&self.path).and_then(|config| self.take(config)) {
+            if let Err(e) = load::read(&self.path).and_then(|config| self.apply(config)) {
                 note!(warn: "the configuration stays as it was: {e}");
             }
         }
     }
 
-    fn take(&mut self, config: Config) -> Result<(), String> {
-        // sandgap's own settings have been checked whole by their schema.
-        if !self.shape.is_null() {
-            change::check(&self.shape, &config.shape)?;
+    fn apply(&mut self, config: Config) -> Result<(), String> {
+        // sandgap's own settings are checked completely by their schema.
+        if !self.platform_file.is_null() {
+            change::check(&self.platform_file, &config.platform_file)?;
         }
         if matches!(config.source, Source::Discovery(_)) != self.discovery.is_some() {
-            return Err("a change between discovery and a fixed list needs a new start".into());
+            return Err("a change between discovery and a fixed list needs a restart".into());
         }
         if self.agreed {
             note!(
-                "the fleet agrees on rules: 'sandgap fleet publish' changes them; of the file connections' times count"
+                "the fleet agrees on the rules: 'sandgap fleet publish' changes them; only the file's connection \
+                 timeouts apply"
             );
             self.upstreams.change(&config.connections);
             return Ok(());
         }
         let change = self.front.change(&config.settings, &config.names)?;
         if Fixed::of(&config) != self.fixed {
-            note!(warn: "listen, limits, number, zone, discovery's way, weights and peers need a new start; they stay");
+            note!(warn: "changes of listen address, limits, proxy number, zone, discovery mode, weights and peers need a new start; they stay");
         }
         note!("settings in force: classes {}", config.names.classes.join(", "));
         self.inbox.put(Input::Change(Box::new(change)));
         self.upstreams.change(&config.connections);
-        self.shape = config.shape;
+        self.platform_file = config.platform_file;
         match (config.source, &self.discovery) {
             (Source::Discovery(address), Some(discovery)) => {
                 note!("the configuration names discovery at {address}");
@@ -123,8 +125,8 @@
     }
 }
 
-/// Counts and traces what the process is doing.
-async fn note_states(serving: Rc<Serving>, diagnostics: Rc<Diagnostics>) {
+/// Counts and traces each serving state.
+async fn record_states(serving: Rc<Serving>, diagnostics: Rc<Diagnostics>) {
     let mut changes = serving.changes();
     loop {
         let state = serving.state().name();
@@ -136,11 +138,11 @@
     }
 }
 
-/// What discovery had told counts from a process's first moment: the remembered list, which may be older, is offered only
-/// once discovery has been silent for `patience`.
-async fn offer_remembered(hosts: Vec<Host>, patience: Duration, inbox: Inbox) {
+/// Offers the remembered list once discovery has been silent for `delay`. It waits because discovery's own list counts
+/// from the start of a process, and the remembered one may be older.
+async fn offer_remembered(hosts: Vec<Host>, delay: Duration, inbox: Inbox) {
     if !hosts.is_empty() {
-        tokio::time::sleep(patience).await;
+        tokio::time::sleep(delay).await;
         inbox.put(Input::Remembered(hosts));
     }
 }
@@ -154,14 +156,16 @@
     let mut int = signal(SignalKind::interrupt()).map_err(at("SIGINT"))?;
     let hup = signal(SignalKind::hangup()).map_err(at("SIGHUP"))?;
     let serving = Rc::new(Serving::default());
-    let diagnostics = Diagnostics::new(std::env::var_os(TRACE).map(PathBuf::from).as_deref());
-    spawn_local(note_states(serving.clone(), diagnostics.clone()));
+    let diagnostics = Diagnostics::new(std::env::var_os(TRACE_VARIABLE).map(PathBuf::from).as_deref());
+    spawn_local(record_states(serving.clone(), diagnostics.clone()));
     let taken = match config.upgrade.as_ref().filter(|_| config.listen.port() != 0) {
-        Some(directory) => handover::take(&handover::path(directory, config.listen), config.listen).await,
+        Some(directory) => {
+            handover::request_sockets(&handover::path(directory, config.listen), config.listen).await
+        }
         None => None,
     };
     let (listener, datagrams, older) = match taken {
-        Some(Taken { listener, datagrams, stream }) => {
+        Some(ReceivedSockets { listener, datagrams, stream }) => {
             note!("upgrade: taking over from the process before");
             serving.hold();
             (listener, datagrams, Some(stream))
@@ -189,7 +193,7 @@
     let peers = match config.peers {
         Some(addresses) => {
             let on = format!("peers on {}", addresses.listen);
-            let reads = datagrams.is_none(); // else the process before reads until this one serves
+            let reads = datagrams.is_none(); // otherwise the older process reads until this one serves
             let socket = match datagrams {
                 Some(handed) => handed,
                 None => retry::until_had(&on, || peers::bind(addresses.listen)).await.map_err(at(&on))?,
@@ -200,10 +204,10 @@
         }
         None => None,
     };
-    let budget = config.sockets - RESERVE;
+    let budget = config.sockets - RESERVED_DESCRIPTORS;
     let view = Rc::new(View::default());
-    // The module sends to a backend only while it has a free slot there, but clients come as they like: most
-    // of the budget is theirs.
+    // The decision library sends to a backend only while it has a free slot there, but the number of clients is not
+    // controlled, so they get most of the budget.
     let upstreams =
         Rc::new(Upstreams::new(&config.connections, budget / 4, diagnostics.clone(), view.clone()));
     let asked = Rc::new(Notify::new());
@@ -226,7 +230,7 @@
     match config.source {
         Source::Fixed(hosts) => inbox.put(Input::List(Scope::Full, hosts)),
         Source::Discovery(_) => {
-            inbox.put(Input::List(Scope::Cached, Vec::new())); // the module's clock begins
+            inbox.put(Input::List(Scope::Cached, Vec::new())); // starts the decision library's clock
             let remembered = discovery::parse_remembered(&config.known).unwrap_or_default();
             spawn_local(offer_remembered(
                 remembered,
@@ -239,8 +243,8 @@
         spawn_local(discovery::follow(addresses, inbox.clone(), (!pushed).then_some(asked)));
     }
     let uploads = UploadLimits {
-        at_once: config.memory / MEMORY_PART / UPLOAD,
-        read_ahead_bytes: config.memory / READ_AHEAD_PART,
+        at_once: config.memory / UPLOAD_MEMORY_DIVISOR / MAX_UPLOAD_BYTES,
+        read_ahead_bytes: config.memory / READ_AHEAD_DIVISOR,
     };
     let address = listener.local_addr().map_err(at("the listener"))?;
     let front = front::Frontend::new(
@@ -252,11 +256,19 @@
         uploads,
         config.grace,
     );
-    let (shape, reloaded) = (config.shape, front.clone());
+    let (platform_file, reloaded) = (config.platform_file, front.clone());
     let agreed = fleet.is_some();
     let from_discovery = discovery.is_some();
-    let reload =
-        Reload { path, shape, fixed, discovery, inbox: inbox.clone(), front: reloaded, upstreams, agreed };
+    let reload = Reload {
+        path,
+        platform_file,
+        fixed,
+        discovery,
+        inbox: inbox.clone(),
+        front: reloaded,
+        upstreams,
+        agreed,
+    };
     spawn_local(reload.run(hup));
     let agreed_inbox = inbox.clone();
     if let Some(directory) = config.upgrade {
@@ -284,8 +296,8 @@
             spawn_local(async move { rules::runtime::retire(&rules).await });
         }
     };
-    // Without its module a proxy could only fail everything: then it is better dead and started anew.
-    // A task of its own: what is polled right here is polled whenever any task has run.
+    // If the driver ends, the proxy could only fail every request, so the process ends and is restarted. The front is
+    // a separate task, because a future polled here is polled whenever any task has run.
     let front = spawn_local(front.serve(listener, stop));
     let ended = tokio::select! {
         end = front => end.map_err(|e| format!("the front has ended: {e}")),
@@ -295,11 +307,11 @@
     ended
 }
 
-/// Runs one proxy by the configuration in `path` until it is told to stop and has finished what it took.
+/// Runs one proxy with the configuration in `path` until it is told to stop and has finished its requests.
 ///
 /// # Errors
-/// A configuration that can't be read, an address that can't be used, or the end of the driver, in a text that
-/// names what is wrong.
+/// A text that names the problem: a configuration that can't be read, an address that can't be used, or the end of the
+/// driver.
 pub fn serve(path: PathBuf) -> Result<(), String> {
     let config = load::read(&path)?;
     let runtime =
--- a/crates/sandgap/src/discovery/mod.rs
+++ b/crates/sandgap/src/discovery/mod.rs
@@ -28,7 +28,7 @@
 };
 
 /// Parses an entry as far as possible: one malformed entry must not hide the rest of the list.
-fn host(entry: &Value) -> Option<Host> {
+fn parse_entry(entry: &Value) -> Option<Host> {
     let text = |key: &str| entry[key].as_str().map(str::to_owned);
     let Some(host) = text("host") else {
         note!(warn: "discovery: an entry has no name; it is ignored");
@@ -60,7 +60,7 @@
 
 impl List {
     fn entries(&self) -> Vec<Host> {
-        self.hosts.iter().filter_map(host).collect()
+        self.hosts.iter().filter_map(parse_entry).collect()
     }
 }
 
--- a/crates/sandgap/src/drains.rs
+++ b/crates/sandgap/src/drains.rs
@@ -1,5 +1,5 @@
-//! Applies manual drains to a list from discovery. A backend that the agreed rules drain stays drained whatever the list
-//! reports, and is used again once both the rules and the list allow it.
+//! Applies manual drains to a list from discovery. A backend that the agreed rules drain stays drained whatever the
+//! list reports, and is used again once both the rules and the list allow it.
 
 use std::collections::BTreeSet;
 
--- a/crates/sandgap/src/handover.rs
+++ b/crates/sandgap/src/handover.rs
@@ -1,11 +1,11 @@
-//! Upgrades: a new process takes the listening socket itself from the one before it, so that both accept from one
-//! queue and none of its connections is lost when the old one stops.
+//! Upgrades: a new process receives the listening socket itself from the old process, so that both accept from the same
+//! queue and no queued connection is lost when the old process stops.
 //!
-//! The old process listens on a Unix socket in a directory that both share. The new one says `HELLO` and gets one
-//! head with the descriptors (SCM_RIGHTS, unix(7)). From then on frames go both ways until one of them ends: `S`, the
-//! new one serves now and the old one finishes what it holds; `D`, a datagram of another proxy or of the other
-//! process. The end of the stream is the end of the process: the old one takes the queue back, or the new one has it
-//! for good. Whatever goes wrong, the new process starts by itself beside the old one, see [`crate::front::listen`].
+//! The old process listens on a Unix socket in a shared directory. The new process sends `HELLO` and receives one header
+//! with the descriptors (SCM_RIGHTS, unix(7)). After that, frames go both ways until one process ends: `S`, the new
+//! process serves now and the old one finishes its requests; `D`, a datagram of another proxy or of the other process.
+//! The end of the stream means the end of the process: the old process continues to accept, or the new one is alone. If
+//! any step fails, the new process starts independently beside the old one, see [`crate::front::listen`].
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -33,20 +33,19 @@
 use crate::retry;
 use crate::serving::Serving;
 
-/// What the new process says first: the format and its version.
+/// First bytes of each side: protocol name and version.
 const HELLO: &[u8; 16] = b"sandgap-upgrade1";
-/// Descriptors that a head brings at most: the listener and the socket of datagrams.
-const DESCRIPTORS: usize = 2;
-/// Each side waits this long for the other's first words. A new process that finds a peer that hangs has started
-/// by itself within a second.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// Wait after a failed accept, lest it spin.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Maximum number of descriptors in a header: the listener and the datagram socket.
+const MAX_DESCRIPTORS: usize = 2;
+/// Timeout for the other side's first bytes. A new process starts by itself within a second if the old one hangs.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(400);
+/// Wait after a failed accept, to avoid a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 const SERVES: u8 = b'S';
 const DATAGRAM: u8 = b'D';
 
-/// Where processes that serve one address find each other.
+/// Path of the upgrade socket for a listening address.
 pub fn path(directory: &Path, listen: SocketAddr) -> PathBuf {
     directory.join(format!("sandgap-{}-{}.sock", listen.ip(), listen.port()))
 }
@@ -54,25 +53,25 @@
 /// The connection between two processes.
 type HandoverStream = SharedStream<UnixStream>;
 
-/// What a new process has got from the one before.
-pub struct Taken {
+/// The sockets that a new process received from the old one.
+pub struct ReceivedSockets {
     /// The listening socket, shared with the old process.
     pub listener: StdListener,
-    /// The socket of datagrams, if there is one.
+    /// The datagram socket, if any.
     pub datagrams: Option<StdUdp>,
-    /// Frames go both ways on it until one of the two processes ends.
+    /// Carries frames both ways until one of the two processes ends.
     pub stream: HandoverStream,
 }
 
-/// Asks the process that serves `listen`, if there is one, for its sockets.
-pub async fn take(path: &Path, listen: SocketAddr) -> Option<Taken> {
-    match timeout(PATIENCE, ask(path)).await {
+/// Requests the sockets of the process that serves `listen`, if there is one.
+pub async fn request_sockets(path: &Path, listen: SocketAddr) -> Option<ReceivedSockets> {
+    match timeout(HELLO_TIMEOUT, receive_sockets(path)).await {
         Ok(Ok(taken)) if taken.listener.local_addr().is_ok_and(|at| at == listen) => Some(taken),
         Ok(Ok(_)) => {
             note!(warn: "upgrade: the process before listens elsewhere; starting beside it");
             None
         }
-        // No file or nobody behind it: there is no process before this one.
+        // No socket file or no listener behind it: there is no older process.
         Ok(Err(e)) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => None,
         Ok(Err(e)) => {
             note!(warn: "upgrade: {e}; starting beside the process before");
@@ -85,18 +84,19 @@
     }
 }
 
-async fn ask(path: &Path) -> io::Result<Taken> {
+async fn receive_sockets(path: &Path) -> io::Result<ReceivedSockets> {
     let mut stream = HandoverStream::from(UnixStream::connect(path).await?);
     stream.write_all(HELLO).await?;
-    let descriptors = stream.async_io(Interest::READABLE, || receive(&stream)).await?;
+    let descriptors = stream.async_io(Interest::READABLE, || receive_descriptors(&stream)).await?;
     let mut all = descriptors.into_iter();
-    let listener = all.next().ok_or_else(|| io::Error::other("no listening socket came"))?;
+    let listener =
+        all.next().ok_or_else(|| io::Error::other("the process before sent no listening socket"))?;
     let (listener, datagrams) = (StdListener::from(listener), all.next().map(StdUdp::from));
-    Ok(Taken { listener, datagrams, stream })
+    Ok(ReceivedSockets { listener, datagrams, stream })
 }
 
-fn receive(stream: &UnixStream) -> io::Result<Vec<OwnedFd>> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS))];
+fn receive_descriptors(stream: &UnixStream) -> io::Result<Vec<OwnedFd>> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut head = [0; HELLO.len()];
     let got = recvmsg(stream, &mut [IoSliceMut::new(&mut head)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
@@ -111,60 +111,60 @@
     Ok(descriptors)
 }
 
-fn give(stream: &UnixStream, descriptors: &[BorrowedFd]) -> io::Result<()> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(DESCRIPTORS))];
+fn send_descriptors(stream: &UnixStream, descriptors: &[BorrowedFd]) -> io::Result<()> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     control.push(SendAncillaryMessage::ScmRights(descriptors));
     let sent = sendmsg(stream, &[IoSlice::new(HELLO)], &mut control, SendFlags::NOSIGNAL)?;
     if sent == HELLO.len() { Ok(()) } else { Err(io::ErrorKind::WriteZero.into()) }
 }
 
-/// What both sides of an upgrade need of the process.
+/// The parts of the process that an upgrade uses, on either side.
 pub struct Upgrade {
     /// Where a newer process finds this one.
     pub path: PathBuf,
-    /// The socket on which clients come.
+    /// The listening socket for clients.
     pub listener: StdListener,
     /// Whether clients are taken.
     pub serving: Rc<Serving>,
-    /// Where datagrams go in.
+    /// Receives relayed datagrams.
     pub inbox: Inbox,
     /// The other proxies.
     pub peers: Option<Rc<Peers>>,
     /// Holds the clients' connections.
     pub front: Rc<Frontend>,
-    /// Sockets for clients and backends, while this process is alone.
+    /// Socket budget for clients and backends while this process runs alone.
     pub budget: usize,
 }
 
 impl Upgrade {
-    /// Takes the place of the process before, if `taken` is the way to one, and waits to be replaced itself.
+    /// Replaces the older process if `taken` leads to one, and waits for newer processes.
     pub async fn run(self, taken: Option<HandoverStream>) {
         match taken {
-            Some(stream) => drop(tokio::join!(self.replace(stream), self.wait())),
-            None => self.wait().await,
+            Some(stream) => drop(tokio::join!(self.replace_older(stream), self.wait_for_newer())),
+            None => self.wait_for_newer().await,
         }
     }
 
-    /// Tells the older process once this one serves, and follows it to its end.
-    async fn replace(&self, mut stream: HandoverStream) {
+    /// Notifies the older process once this one serves, and exchanges frames until it ends.
+    async fn replace_older(&self, mut stream: HandoverStream) {
         self.front.set_budget(self.budget / 2);
         let read = stream.clone();
         let relay = self.peers.as_ref().map(|p| p.relay());
-        let tells = async {
+        let sender = async {
             self.serving.ready().await;
-            self.reads(true);
+            self.set_reading(true);
             stream.write_all(&[SERVES]).await?;
-            datagrams(&mut stream, relay).await
+            send_datagrams(&mut stream, relay).await
         };
-        self.follow(read, tells, || {}).await;
+        self.exchange_frames(read, sender, || {}).await;
         note!("upgrade: the process before has ended");
         self.serving.release();
-        self.alone();
+        self.resume_alone();
     }
 
     /// Waits for newer processes, one at a time.
-    async fn wait(&self) {
+    async fn wait_for_newer(&self) {
         self.serving.ready().await;
         loop {
             let published = retry::until_had("upgrade", || Published::new(&self.path)).await;
@@ -178,74 +178,78 @@
             while !self.serving.is_handed_over() {
                 match published.listener.accept().await {
                     Ok((stream, _)) => {
-                        if let Err(e) = self.give_way(stream.into()).await {
+                        if let Err(e) = self.hand_over_to(stream.into()).await {
                             note!(warn: "upgrade: {e}");
                         }
                     }
-                    Err(_) => sleep(PAUSE).await,
+                    Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
                 }
             }
-            self.serving.hand_over(false); // the newer one took the path and has gone: it is taken again
+            self.serving.hand_over(false); // the newer process replaced the socket file and has ended: publish it again
         }
     }
 
-    /// Hands the sockets to a newer process and follows it for as long as it runs.
-    async fn give_way(&self, mut stream: HandoverStream) -> io::Result<()> {
+    /// Hands the sockets to a newer process and exchanges frames until it ends.
+    async fn hand_over_to(&self, mut stream: HandoverStream) -> io::Result<()> {
         let mut hello = [0; HELLO.len()];
-        timeout(PATIENCE, stream.read_exact(&mut hello)).await??;
+        timeout(HELLO_TIMEOUT, stream.read_exact(&mut hello)).await??;
         if hello != *HELLO || !self.serving.is_ready() {
-            return Err(io::Error::other("a process of another version has come, or this one ends"));
+            return Err(io::Error::other(
+                "the newer process speaks another version, or this process is stopping",
+            ));
         }
         let mut descriptors = vec![self.listener.as_fd()];
         descriptors.extend(self.peers.as_ref().map(|p| p.socket().as_fd()));
-        stream.async_io(Interest::WRITABLE, || give(&stream, &descriptors)).await?;
+        stream.async_io(Interest::WRITABLE, || send_descriptors(&stream, &descriptors)).await?;
         note!("upgrade: a newer process has come");
         self.front.set_budget(self.budget / 2);
         let read = stream.clone();
         let relay = self.peers.as_ref().map(|p| p.relay());
         let serves = || {
             note!("upgrade: the newer process serves");
-            self.reads(false);
+            self.set_reading(false);
             self.serving.hand_over(true);
         };
-        self.follow(read, datagrams(&mut stream, relay), serves).await;
+        self.exchange_frames(read, send_datagrams(&mut stream, relay), serves).await;
         note!(warn: "upgrade: the newer process has gone; this one goes on");
-        self.alone();
+        self.resume_alone();
         Ok(())
     }
 
     /// Exchanges frames with the other process until it ends.
-    async fn follow(
-        &self, read: HandoverStream, tells: impl Future<Output = io::Result<()>>, serves: impl Fn(),
+    async fn exchange_frames(
+        &self, read: HandoverStream, sender: impl Future<Output = io::Result<()>>, serves: impl Fn(),
     ) {
-        let tells = async {
-            if tells.await.is_err() {
-                std::future::pending::<()>().await; // its end shows at the reader, when all has been read
+        let sender = async {
+            if sender.await.is_err() {
+                std::future::pending::<()>().await; // the reader notices the end once it has read everything
             }
         };
         tokio::select! {
-            () = frames(read, &self.inbox, serves) => {}
-            () = tells => {}
+            () = read_frames(read, &self.inbox, serves) => {}
+            () = sender => {}
         }
     }
 
-    fn reads(&self, reads: bool) {
+    fn set_reading(&self, reads: bool) {
         if let Some(peers) = &self.peers {
             peers.read(reads);
         }
     }
 
-    /// The other process has gone: all is this one's.
-    fn alone(&self) {
+    /// Resumes sole use of the sockets and the budget after the other process has ended.
+    fn resume_alone(&self) {
         if let Some(peers) = &self.peers {
             peers.unrelay();
         }
-        self.reads(true);
+        self.set_reading(true);
         self.front.set_budget(self.budget);
     }
 }
 
-async fn datagrams(write: &mut HandoverStream, relay: Option<mpsc::Receiver<Datagram>>) -> io::Result<()> {
+async fn send_datagrams(
+    write: &mut HandoverStream, relay: Option<mpsc::Receiver<Datagram>>,
+) -> io::Result<()> {
     let Some(mut relay) = relay else { return std::future::pending().await };
     let mut frame = Vec::with_capacity(7 + MAX_MESSAGE_BYTES);
     while let Some((from, bytes)) = relay.recv().await {
@@ -256,11 +260,11 @@
         frame.extend(bytes);
         write.write_all(&frame).await?;
     }
-    std::future::pending().await // the stream stays open: its end would be this process's
+    std::future::pending().await // the stream stays open, since its end would mean the end of this process
 }
 
-/// Reads frames until the other process ends or says what can't be right.
-async fn frames(mut read: HandoverStream, inbox: &Inbox, serves: impl Fn()) {
+/// Reads frames until the other process ends or sends an invalid frame.
+async fn read_frames(mut read: HandoverStream, inbox: &Inbox, serves: impl Fn()) {
     loop {
         match read.read_u8().await {
             Ok(SERVES) => serves(),
@@ -278,7 +282,7 @@
     }
 }
 
-/// A listener at a path, which is removed with it unless another process has taken it.
+/// A listener at a path. Dropping it removes the file, unless another process has replaced it.
 struct Published {
     listener: UnixListener,
     path: PathBuf,
@@ -286,11 +290,11 @@
 }
 
 impl Published {
-    /// Listens at a path whatever stood there before. The new file takes its place whole, so that a newer process
-    /// finds either the old one or this one.
+    /// Listens at a path and replaces any file there by an atomic rename, so that a newer process finds either the old
+    /// file or this one.
     fn new(path: &Path) -> io::Result<Self> {
         let own = path.with_extension(std::process::id().to_string());
-        let _ = std::fs::remove_file(&own); // of a process of the same number, long ago
+        let _ = std::fs::remove_file(&own); // left over from an earlier process with the same process ID
         let listener = UnixListener::bind(&own)?;
         let inode = std::fs::metadata(&own)?.ino();
         std::fs::rename(&own, path)?;
@@ -301,7 +305,7 @@
 impl Drop for Published {
     fn drop(&mut self) {
         if std::fs::metadata(&self.path).is_ok_and(|m| m.ino() == self.inode) {
-            let _ = std::fs::remove_file(&self.path); // a file left behind does no harm
+            let _ = std::fs::remove_file(&self.path); // a file left behind is harmless
         }
     }
 }
--- a/crates/sandgap/src/lib.rs
+++ b/crates/sandgap/src/lib.rs
@@ -1,7 +1,8 @@
-//! The reverse proxy: clients, backends, discovery and peers on sockets, every decision in the module.
+//! The reverse proxy: it handles the sockets of clients, backends, discovery and peers, and leaves every decision to
+//! the decision library `wharfhitch`.
 //!
-//! [`event`] has the words that all parts share; `driver` owns the module and is the only one to ask it;
-//! `front` serves clients; `upstream` makes attempts; `discovery` and `peers` bring news.
+//! [`event`] has the types that all parts share; `driver` owns the library's state and alone calls it; `front` serves
+//! clients; `upstream` makes attempts; `discovery` and `peers` receive updates.
 
 pub mod admin;
 pub mod beliefs;
--- a/crates/sandgap/src/log.rs
+++ b/crates/sandgap/src/log.rs
@@ -1,8 +1,8 @@
-//! The log: structured events, written to standard error as text or as a JSON object a line, a few a second at
-//! most, so that no flood of bad input becomes a flood of log. Nothing on the path of a request logs.
+//! The log: structured events, written to standard error as text or as one JSON object per line. The rate is limited,
+//! so that a flood of bad input does not become a flood of log lines. Nothing on the path of a request logs.
 //!
-//! A thread of its own writes the lines: whoever reads them may be slow or gone, and a write that waits for that would hold
-//! up every request of the process. Lines that it can't keep up with are counted and left out.
+//! A separate thread writes the lines: the reader may be slow or gone, and a blocking write would hold up every request
+//! of the process. Lines beyond the thread's queue are counted and dropped.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -12,44 +12,45 @@
 
 use tracing_subscriber::fmt::MakeWriter;
 
-const BURST: u32 = 20; // lines in a second; the rest are counted and left out
-/// Lines that wait to be written.
+/// Maximum number of lines per second; the rest are counted and dropped.
+const MAX_LINES_PER_SECOND: u32 = 20;
+/// Queue capacity in lines.
 const QUEUE: usize = 256;
-/// What the last lines of a process may take to be written.
-const LAST_LINES: Duration = Duration::from_millis(200);
+/// Time limit for writing the last lines of a process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// For the thread that writes.
+/// A message to the writer thread.
 enum Message {
     Line(Vec<u8>),
-    /// Told once all before it is written.
+    /// Answered once all earlier lines are written.
     Finish(SyncSender<()>),
 }
 
 static WRITER: OnceLock<SyncSender<Message>> = OnceLock::new();
 /// Lines for which there was no room in the queue.
-static NO_ROOM: AtomicU32 = AtomicU32::new(0);
+static QUEUE_FULL: AtomicU32 = AtomicU32::new(0);
 
-/// How lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// For programs.
+    /// One JSON object per line.
     Json,
 }
 
-/// Begins to log; a second call changes nothing.
+/// Starts logging; a second call has no effect.
 pub fn start(format: Format) {
     let (sender, messages) = sync_channel(QUEUE);
     if WRITER.set(sender).is_err() {
         return;
     }
-    // Without a thread the queue fills up, and the log is left out.
+    // Without the thread the queue fills up and lines are dropped.
     let _ = std::thread::Builder::new().name("log".into()).spawn(move || write_all(&messages));
     let writer = Limited::default();
     let lines = tracing_subscriber::fmt().with_writer(writer).with_target(false).with_ansi(false);
-    // A log that nobody reads any more must not end the process: what can't be written is dropped.
+    // A closed log must not end the process: lines that can't be written are dropped.
     let lines = lines.log_internal_errors(false);
     let _ = match format {
         Format::Text => lines.try_init(),
@@ -57,11 +58,11 @@
     };
 }
 
-/// Waits a little until all that was logged has been written.
+/// Waits up to [`FLUSH_TIMEOUT`] until all queued lines are written.
 pub fn finish() {
     let (done, written) = sync_channel(1);
     if WRITER.get().is_some_and(|writer| writer.try_send(Message::Finish(done)).is_ok()) {
-        let _ = written.recv_timeout(LAST_LINES); // past it nobody reads them
+        let _ = written.recv_timeout(FLUSH_TIMEOUT); // a reader that takes longer is given up
     }
 }
 
@@ -69,16 +70,16 @@
     for message in messages {
         match message {
             Message::Line(line) => {
-                let _ = io::stderr().lock().write_all(&line); // nobody is left to tell
+                let _ = io::stderr().lock().write_all(&line); // there is no other place to report the error
             }
             Message::Finish(done) => {
-                let _ = done.send(()); // it has waited for long enough
+                let _ = done.send(()); // the caller may have timed out
             }
         }
     }
 }
 
-/// This second, as far as it has come.
+/// Line count of the current second.
 #[derive(Default)]
 struct Window {
     since: Option<Instant>,
@@ -86,19 +87,19 @@
 }
 
 impl Window {
-    /// Whether a line may be written now, and how many were left out before it.
+    /// Whether a line may be written now, and how many were dropped before it.
     fn admit(&mut self, now: Instant) -> (bool, u32) {
-        let mut left_out = 0;
+        let mut dropped = 0;
         if self.since.is_none_or(|s| now - s >= Duration::from_secs(1)) {
-            left_out = self.count.saturating_sub(BURST);
+            dropped = self.count.saturating_sub(MAX_LINES_PER_SECOND);
             (self.since, self.count) = (Some(now), 0);
         }
         self.count += 1;
-        (self.count <= BURST, left_out)
+        (self.count <= MAX_LINES_PER_SECOND, dropped)
     }
 }
 
-/// The log, a few lines a second.
+/// Rate-limited log writer.
 #[derive(Clone, Default)]
 struct Limited(Arc<Mutex<Window>>);
 
@@ -106,30 +107,30 @@
     type Writer = Line;
 
     fn make_writer(&'a self) -> Line {
-        let (write, left_out) = self.0.lock().unwrap_or_else(PoisonError::into_inner).admit(Instant::now());
-        let no_room = if write { NO_ROOM.swap(0, Ordering::Relaxed) } else { 0 };
-        Line { write, left_out: left_out + no_room }
+        let (write, dropped) = self.0.lock().unwrap_or_else(PoisonError::into_inner).admit(Instant::now());
+        let queue_full = if write { QUEUE_FULL.swap(0, Ordering::Relaxed) } else { 0 };
+        Line { write, dropped: dropped + queue_full }
     }
 }
 
-/// One line on its way.
+/// One line to be written or dropped.
 struct Line {
     write: bool,
-    left_out: u32,
+    dropped: u32,
 }
 
 impl Write for Line {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if self.write {
-            let left_out = std::mem::take(&mut self.left_out);
+            let dropped = std::mem::take(&mut self.dropped);
             let mut line = Vec::with_capacity(bytes.len());
-            if left_out > 0 {
-                writeln!(line, "sandgap: {left_out} lines left out")?;
+            if dropped > 0 {
+                writeln!(line, "sandgap: {dropped} log lines dropped")?;
             }
             line.extend_from_slice(bytes);
             let has_room = WRITER.get().is_some_and(|writer| writer.try_send(Message::Line(line)).is_ok());
             if !has_room {
-                NO_ROOM.fetch_add(left_out + 1, Ordering::Relaxed);
+                QUEUE_FULL.fetch_add(dropped + 1, Ordering::Relaxed);
             }
         }
         Ok(bytes.len())
@@ -140,7 +141,7 @@
     }
 }
 
-/// Logs a formatted line; with a level first, at that level.
+/// Logs a formatted line at info level, or at the level given first.
 #[macro_export]
 macro_rules! note {
     (error: $($part:tt)*) => { tracing::error!($($part)*) };
@@ -153,10 +154,10 @@
     use super::*;
 
     #[test]
-    fn a_flood_is_cut_and_what_was_left_out_is_counted() {
+    fn a_flood_is_limited_and_dropped_lines_are_counted() {
         let (mut window, start) = (Window::default(), Instant::now());
         let written = (0..100).filter(|_| window.admit(start).0).count();
-        assert_eq!(written, BURST as usize);
+        assert_eq!(written, MAX_LINES_PER_SECOND as usize);
         assert_eq!(window.admit(start + Duration::from_secs(2)), (true, 80));
         assert_eq!(window.admit(start + Duration::from_secs(2)), (true, 0));
     }
--- a/crates/sandgap/src/main.rs
+++ b/crates/sandgap/src/main.rs
@@ -9,14 +9,14 @@
 use sandgap::settings::schema::{Default, Kind, TABLES};
 use sandgap::{config, daemon, load, log, settings};
 
-/// A reverse proxy that keeps its promises when things break.
+/// A reverse proxy that keeps to deadlines and retry rules during failures.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// How the log's lines look.
+    /// Format of log lines.
     #[arg(long, global = true, value_enum, env = "SANDGAP_LOG", default_value = "text")]
     log: log::Format,
-    /// Without one: serve, by the file that NODE_CONFIG names.
+    /// Without a command: serve with the file that NODE_CONFIG names.
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -25,33 +25,34 @@
 enum Command {
     /// Runs the proxy until SIGTERM.
     Serve {
-        /// Settings: a .toml file of sandgap's own, or the platform's JSON.
+        /// Settings file: sandgap's own .toml, or the platform's JSON.
         #[arg(env = "NODE_CONFIG")]
         file: PathBuf,
     },
-    /// Tells all that is wrong with a settings file; exits 2 if anything is.
+    /// Reports all problems of a settings file; exits 2 if there are any.
     Check {
         /// The file.
         #[arg(required_unless_present = "keys")]
         file: Option<PathBuf>,
-        /// Lists every key with its unit, default and bounds instead.
+        /// Lists every key with its unit, default and bounds instead of checking a file.
         #[arg(long)]
         keys: bool,
     },
     /// Rules on which a fleet agrees: publish, status, history and more
     Fleet {
         #[command(flatten)]
-        whose: commands::Whose,
+        arguments: commands::FleetArguments,
         #[command(subcommand)]
-        call: commands::Call,
+        call: commands::FleetCommand,
     },
-    /// Shows the proxy at work: stand-in backends, a steady load, a hang, a drain, and the ledger's verdict.
+    /// Demonstrates the proxy with simulated backends: a steady load, a hang, a drain, and the verdict on the recorded
+    /// requests.
     #[cfg(feature = "demo")]
     Demo {
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = 150.0)]
         rate: f64,
-        /// How long, in seconds.
+        /// Duration in seconds.
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
         /// Seed of the load.
@@ -60,8 +61,8 @@
     },
 }
 
-/// What is wrong with the file or the command line, apart from a run that failed.
-const WRONG: u8 = 2;
+/// Exit code for a problem with the file or the command line, as opposed to a failed run.
+const EXIT_INVALID: u8 = 2;
 
 fn main() -> ExitCode {
     let Arguments { log: format, command } = Arguments::parse();
@@ -75,7 +76,7 @@
     match command.or_else(|| Some(Command::Serve { file: std::env::var_os("NODE_CONFIG")?.into() })) {
         None => {
             sandgap::note!(error:
-                "NODE_CONFIG is not set; 'sandgap serve FILE' takes a file, 'sandgap --help' tells more"
+                "NODE_CONFIG is not set; 'sandgap serve FILE' takes a file; see 'sandgap --help'"
             );
             ExitCode::FAILURE
         }
@@ -91,7 +92,7 @@
             ExitCode::SUCCESS
         }
         Some(Command::Check { file, .. }) => check(&file.unwrap_or_default()),
-        Some(Command::Fleet { whose, call }) => commands::call(&whose, call),
+        Some(Command::Fleet { arguments, call }) => commands::run_command(&arguments, call),
         #[cfg(feature = "demo")]
         Some(Command::Demo { rate, seconds, seed }) => demo(rate, seconds, seed),
     }
@@ -107,7 +108,7 @@
             Err(problems) => {
                 problems.iter().for_each(|p| eprintln!("{}: {p}", file.display()));
                 eprintln!("{}: {} wrong", file.display(), problems.len());
-                ExitCode::from(WRONG)
+                ExitCode::from(EXIT_INVALID)
             }
         };
     }
@@ -118,7 +119,7 @@
         }
         Err(text) => {
             eprintln!("{text}");
-            ExitCode::from(WRONG)
+            ExitCode::from(EXIT_INVALID)
         }
     }
 }
@@ -161,14 +162,16 @@
 fn demo(rate: f64, seconds: f64, seed: u64) -> ExitCode {
     use sandgap_rig::proxy::Program;
     if !(rate > 0.0 && rate <= 10_000.0 && (4.0..=3600.0).contains(&seconds)) {
-        eprintln!("sandgap: a demo takes a rate up to 10000 a second and 4 to 3600 seconds");
-        return ExitCode::from(WRONG);
+        eprintln!(
+            "sandgap: demo: --rate must be above 0 and at most 10000 per second, --seconds from 4 to 3600"
+        );
+        return ExitCode::from(EXIT_INVALID);
     }
     let path = match std::env::current_exe() {
         Ok(path) => path,
         Err(e) => {
-            eprintln!("sandgap: where this program lies can't be told: {e}");
-            return ExitCode::from(WRONG);
+            eprintln!("sandgap: the path of this program can't be determined: {e}");
+            return ExitCode::from(EXIT_INVALID);
         }
     };
     let program = Program::new(path, vec!["serve".into()]);
@@ -179,7 +182,7 @@
         }
         Err(e) => {
             eprintln!("sandgap: {e}");
-            ExitCode::from(WRONG)
+            ExitCode::from(EXIT_INVALID)
         }
     }
 }
--- a/crates/sandgap/src/peers.rs
+++ b/crates/sandgap/src/peers.rs
@@ -39,8 +39,8 @@
 }
 
 impl Peers {
-    /// Uses a socket from [`bind`], or one handed over by the previous process. `reads` tells whether this process reads
-    /// it; a previous process reads it until this one serves.
+    /// Uses a socket from [`bind`], or one handed over by an older process. `reads` tells whether this process reads it;
+    /// an older process does so until this one serves.
     ///
     /// # Errors
     /// The system's error if the socket can't be used.
--- a/crates/sandgap/src/platform.rs
+++ b/crates/sandgap/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: the JSON file that NODE_CONFIG names, read into a [`Config`].
+//! Parser of the platform's configuration, the JSON file that NODE_CONFIG names, into a [`Config`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,9 +7,9 @@
 use serde_json::Value;
 use wharfhitch::settings::{self, number_of};
 
-use crate::config::{Config, PeerAddresses, Source, held};
+use crate::config::{Config, PeerAddresses, Source, max_held_requests};
 
-/// The file as it stands; unknown keys are passed over.
+/// The file's contents; unknown keys are ignored.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -34,25 +34,26 @@
     memory_mb: Option<f64>,
 }
 
-/// The platform counts deadlines up to this when it says how long a process may live after SIGTERM.
-const GRACE: Duration = Duration::from_secs(3);
+/// Limit on finishing requests after SIGTERM: the platform allows for deadlines up to this long when it sets how long a
+/// process may live.
+const MAX_GRACE: Duration = Duration::from_secs(3);
 
-/// Reads a text.
+/// Parses a configuration.
 ///
 /// # Errors
-/// What is wrong with it.
+/// The first problem.
 pub fn parse(text: &str) -> Result<Config, String> {
     let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let mut shape: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    shape["known"].take(); // long, and read at the start alone
+    let mut platform_file: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    platform_file["known"].take(); // long, and read only at the start
     if !file.settings.is_object() {
-        return Err("'settings' is no object".into());
+        return Err("'settings' is not an object".into());
     }
     let (mut settings, names) = settings::parse(&file.settings);
     if settings.classes.is_empty() || names.classes.iter().any(String::is_empty) {
         return Err("'settings' has no named classes".into());
     }
-    // A wrong number would make this proxy claim another's part of the servers.
+    // With a wrong number, this proxy would claim another proxy's share of the backends.
     if settings.me >= settings.proxies {
         return Err(format!("'settings': proxy number {} of {}", settings.me, settings.proxies));
     }
@@ -63,21 +64,21 @@
         _ => None,
     };
     let sockets = file.limits.sockets.unwrap_or(1024).max(64);
-    settings.limits.most_held = held(sockets);
+    settings.limits.most_held = max_held_requests(sockets);
     Ok(Config {
         name: file.name,
         listen: file.listen,
         admin: file.admin,
         upgrade: None,
         source: Source::Discovery(file.discovery),
-        seed: seed(&file.seed).ok_or("'seed' is neither text nor a whole number")?,
+        seed: seed(&file.seed).ok_or("'seed' is neither a string nor a whole number")?,
         memory: (file.limits.memory_mb.unwrap_or(192.0).clamp(16.0, 1e6) * (1 << 20) as f64) as usize,
         sockets,
-        grace: GRACE,
+        grace: MAX_GRACE,
         peers,
         known: file.known,
         connections: settings::connections(&file.settings),
-        shape,
+        platform_file,
         metrics: None,
         on_lapse: Vec::new(),
         fleet: None,
@@ -86,7 +87,7 @@
     })
 }
 
-/// Hexadecimal as a rule; other text still gives the same number each time.
+/// Parses a seed. It is usually hexadecimal; other text is hashed to a fixed number.
 fn seed(value: &Value) -> Option<u64> {
     match value {
         Value::String(text) => Some(u64::from_str_radix(text, 16).unwrap_or_else(|_| number_of(text))),
@@ -106,7 +107,7 @@
         "nInstances":1,"myNumber":0,"ceilings":{"mayTell":true,"dialTimeout":120,"idleClose":30000}}}"#;
 
     #[test]
-    fn a_good_file_is_read_whole() {
+    fn a_valid_file_is_read_completely() {
         let config = parse(GOOD).expect("good");
         assert_eq!((config.seed, config.sockets), (0x8c1f, 512));
         assert_eq!(config.connections, Connections { dial_timeout: 120.0, idle_close: 30_000.0 });
@@ -115,12 +116,12 @@
     }
 
     #[test]
-    fn peers_are_left_alone_where_the_settings_forbid_them() {
+    fn peers_are_not_used_if_the_settings_forbid_them() {
         assert!(parse(&GOOD.replace("\"mayTell\":true", "\"mayTell\":false")).expect("good").peers.is_none());
     }
 
     #[test]
-    fn what_is_wrong_is_named() {
+    fn errors_name_the_problem() {
         for (from, to, word) in [
             ("127.0.0.1:9000", "nowhere", "socket address"),
             ("\"seed\":\"8c1f\",", "", "seed"),
--- a/crates/sandgap/src/rules/book.rs
+++ b/crates/sandgap/src/rules/book.rs
@@ -1,5 +1,5 @@
-//! Settings as rulebooks and back. A rulebook is checked by writing it down as a settings file and reading that: what
-//! `sandgap check` would not take, no proxy holds.
+//! Converts settings to rulebooks and back. A rulebook is checked by writing it as a settings file and parsing that, so
+//! no proxy accepts rules that `sandgap check` would reject.
 
 use std::collections::BTreeSet;
 
@@ -13,11 +13,11 @@
 use crate::event::Host;
 use crate::settings;
 
-/// The rulebook that a configuration holds.
+/// The rulebook of a configuration.
 ///
 /// # Errors
-/// Where something in it can't stand in a rulebook.
-pub fn of(config: &Config) -> Result<Rulebook, String> {
+/// If the configuration holds something that a rulebook can't represent.
+pub fn from_config(config: &Config) -> Result<Rulebook, String> {
     let s = &config.settings;
     let class = |((name, class), on_lapse): ((&String, &wharfhitch::Class), &_)| Class {
         name: name.clone(),
@@ -77,8 +77,8 @@
     })
 }
 
-/// A rulebook as the part of a settings file that it stands for.
-pub fn text(book: &Rulebook) -> String {
+/// A rulebook as the corresponding part of a settings file.
+pub fn to_toml(book: &Rulebook) -> String {
     let mut file = Table::new();
     let table = |pairs: &[(&str, Option<Value>)]| {
         let all = pairs.iter().filter_map(|(k, v)| Some(((*k).to_owned(), v.clone()?)));
@@ -146,37 +146,41 @@
     ];
     file.insert("limits".into(), table(&limits));
     file.insert("cold".into(), table(&cold));
-    let mut text = toml::to_string(&file).unwrap_or_default(); // plain values always encode
+    let mut text = toml::to_string(&file).unwrap_or_default(); // these plain values always encode
     for name in &book.drained {
         text.push_str(&format!("# drained by hand: {name}\n"));
     }
     text
 }
 
-/// Checks a rulebook as `sandgap check` checks a file, and whether it lists its backends as this proxy gets them, which
-/// only a new start changes; `discovery` says that they come from there.
+/// Checks a rulebook as `sandgap check` checks a file. Also checks that its backends come from the same source as this
+/// proxy's, which only a restart changes; `discovery` tells whether that is discovery.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// All problems, in one text.
 pub fn check(book: &Rulebook, discovery: bool) -> Result<(), String> {
     if discovery == book.backends.is_some() {
-        return Err("a change between discovery and a fixed list needs a new start".into());
+        return Err("a change between discovery and a fixed list needs a restart".into());
     }
     let own = "[proxy]\nlisten = \"127.0.0.1:1\"\n";
     let from = if discovery { "[discovery]\naddress = \"127.0.0.1:2\"\n" } else { "" };
-    let read = settings::parse(&format!("{own}{from}{}", text(book)));
-    let told =
+    let read = settings::parse(&format!("{own}{from}{}", to_toml(book)));
+    let join_problems =
         |all: Vec<settings::Problem>| all.iter().map(|p| p.text.clone()).collect::<Vec<_>>().join("; ");
-    let again = of(&read.map_err(told)?)?;
-    // What the file can't say would be lost without a word.
-    let said = Rulebook { drained: BTreeSet::new(), ..book.clone() };
-    let same = Limits { cross_zone: said.limits.cross_zone, ..again.limits } == said.limits
+    let again = from_config(&read.map_err(join_problems)?)?;
+    // Values that the file can't represent would be lost without an error.
+    let expected = Rulebook { drained: BTreeSet::new(), ..book.clone() };
+    let same = Limits { cross_zone: expected.limits.cross_zone, ..again.limits } == expected.limits
         && (&again.classes, &again.tenants, &again.backends)
-            == (&said.classes, &said.tenants, &said.backends);
-    if same { Ok(()) } else { Err("it holds what this version of sandgap has no settings for".into()) }
+            == (&expected.classes, &expected.tenants, &expected.backends);
+    if same {
+        Ok(())
+    } else {
+        Err("it holds values for which this version of sandgap has no settings".into())
+    }
 }
 
-/// The settings that a rulebook puts in the place of others.
+/// The settings `base` with the values of a rulebook.
 pub fn settings(book: &Rulebook, base: &Settings) -> (Settings, Names) {
     let group = |group| match group {
         Group::All => wharfhitch::Group::All,
@@ -225,7 +229,7 @@
     (settings, names)
 }
 
-/// The lines of the list that a rulebook holds, drains by hand included.
+/// The list of backends in a rulebook, with manual drains applied; `None` if backends come from discovery.
 pub fn hosts(book: &Rulebook) -> Option<Vec<Host>> {
     let host = |b: &Backend| Host {
         host: b.name.clone(),
@@ -253,17 +257,17 @@
     }
 
     #[test]
-    fn a_book_written_down_and_read_is_the_same_book() {
-        let book = of(&config()).expect("whole");
+    fn a_book_written_and_parsed_is_the_same_book() {
+        let book = from_config(&config()).expect("whole");
         assert_eq!(check(&book, false), Ok(()));
-        let again = settings::parse(&format!("[proxy]\nlisten = \"127.0.0.1:1\"\n{}", text(&book)));
-        assert_eq!(of(&again.unwrap_or_else(|p| panic!("{p:?}"))), Ok(book));
+        let again = settings::parse(&format!("[proxy]\nlisten = \"127.0.0.1:1\"\n{}", to_toml(&book)));
+        assert_eq!(from_config(&again.unwrap_or_else(|p| panic!("{p:?}"))), Ok(book));
     }
 
     #[test]
-    fn settings_of_a_book_are_those_of_its_file() {
+    fn settings_of_a_book_equal_those_of_its_file() {
         let config = config();
-        let (settings, names) = settings(&of(&config).expect("whole"), &config.settings);
+        let (settings, names) = settings(&from_config(&config).expect("whole"), &config.settings);
         let by_name = |names: &Names, s: &Settings| {
             names
                 .classes
@@ -275,13 +279,13 @@
         assert_eq!(by_name(&names, &settings), by_name(&config.names, &config.settings));
         assert_eq!(
             settings.limits.most_held, config.settings.limits.most_held,
-            "what is this proxy's own stays"
+            "this proxy's own settings stay"
         );
     }
 
     #[test]
-    fn what_check_would_not_take_is_refused_with_its_words() {
-        let good = of(&config()).expect("whole");
+    fn a_book_that_check_would_reject_is_rejected_with_the_same_message() {
+        let good = from_config(&config()).expect("whole");
         let mut bad = good.clone();
         bad.classes[0].name = "up".into();
         assert!(check(&bad, false).expect_err("no class").contains("can't be the first part of a path"));
@@ -290,12 +294,12 @@
         assert!(check(&bad, false).expect_err("too many").contains("max_attempts"));
         let mut bad = good.clone();
         bad.backends = None;
-        assert!(check(&bad, false).expect_err("no list").contains("new start"));
+        assert!(check(&bad, false).expect_err("no list").contains("restart"));
     }
 
     #[test]
-    fn a_drain_by_hand_is_a_draining_line() {
-        let mut book = of(&config()).expect("whole");
+    fn a_manually_drained_backend_is_listed_as_draining() {
+        let mut book = from_config(&config()).expect("whole");
         book.drained.insert("b".into());
         assert_eq!(hosts(&book).expect("listed")[0].health, "draining");
         assert_eq!(check(&book, false), Ok(()));
--- a/crates/sandgap/src/rules/commands.rs
+++ b/crates/sandgap/src/rules/commands.rs
@@ -1,5 +1,5 @@
-//! What staff call: `sandgap fleet ...`. A call speaks to the voters over the fleet's own links, under a name of its
-//! own, with the key of the settings file that it is given.
+//! The commands `sandgap fleet ...` for operators. A command talks to the voters over the fleet's own links, under a
+//! temporary name, with the key from its settings file.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -25,22 +25,22 @@
 use tokio::time::{sleep, timeout};
 
 use super::book;
-use super::runtime::RULES;
+use super::runtime::RULES_CHANNEL;
 use super::{outs, releases, riders};
 use crate::config::{Config, Fleet};
 use crate::{load, settings};
 
-/// One voter's answer is waited for so long before another is asked.
-const ANSWER: Duration = Duration::from_millis(700);
-/// Between two looks at what has become of a version.
-pub(super) const LOOK: Duration = Duration::from_millis(50);
-/// Lines that two rulebooks differ by, at most.
-const LINES: usize = 200;
+/// Timeout for one voter's answer; then the next voter is asked.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Interval between two status queries.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of differing lines to print.
+const MAX_DIFF_LINES: usize = 200;
 
-/// Which settings tell who the fleet is.
+/// Options of all fleet commands.
 #[derive(Args)]
-pub struct Whose {
-    /// The proxy's settings file: its tables fleet and voter tell whom to ask.
+pub struct FleetArguments {
+    /// The proxy's settings file; its fleet and voter tables name the voters to ask.
     #[arg(long, env = "NODE_CONFIG", global = true, default_value = "deploy/sandgap.toml")]
     settings: PathBuf,
     /// Prints JSON.
@@ -51,28 +51,28 @@
     patience: u64,
 }
 
-/// Calls by hand.
+/// The fleet commands.
 #[derive(Subcommand)]
-pub enum Call {
-    /// Makes this voter's store, once in the life of a fleet, on each voter.
+pub enum FleetCommand {
+    /// Creates this voter's store. Done on each voter, once in the life of a fleet.
     Found,
     /// Puts the rules of a settings file in force on all proxies, or on none.
     Publish {
-        /// The file: its classes, tenants, backends, limits and cold rules.
+        /// The file with classes, tenants, backends, limits and cold rules.
         file: PathBuf,
-        /// Why, for the history.
+        /// Reason, for the history.
         #[arg(long, default_value = "")]
         why: String,
-        /// The version that must be in force; the one that is, if left out.
+        /// The version that must be in force; defaults to the current one.
         #[arg(long)]
         parent: Option<Version>,
-        /// Only tells what would change.
+        /// Only prints what would change.
         #[arg(long)]
         dry_run: bool,
     },
-    /// Puts an old version's content in force under a new number.
+    /// Puts the content of an old version in force under a new number.
     Rollback {
-        /// The old version.
+        /// The version to restore.
         version: Version,
     },
     /// Drains a backend on all proxies.
@@ -80,152 +80,152 @@
         /// Its name.
         backend: String,
     },
-    /// Takes it into use again.
+    /// Ends the drain of a backend on all proxies.
     Undrain {
         /// Its name.
         backend: String,
     },
-    /// Tells on which rules two versions contradict each other, and which lines differ.
+    /// Prints the rules on which two versions contradict each other, and the lines that differ.
     Diff {
-        /// The older.
+        /// The older version.
         old: Version,
-        /// The newer; the one in force, if left out.
+        /// The newer version; defaults to the one in force.
         new: Option<Version>,
     },
-    /// Prints a version as a settings file has it.
+    /// Prints a version in the format of a settings file.
     Show {
-        /// The version; the one in force, if left out.
+        /// The version; defaults to the one in force.
         version: Option<Version>,
     },
-    /// Lists the versions that are kept, with what became of them.
+    /// Lists the kept versions and their outcome.
     History,
-    /// Tells how each proxy stands: version, lease, what it refused and why.
+    /// Prints the state of each proxy: version, lease, refused requests and the reason.
     Status,
-    /// Waits until every live proxy acts on a version, or a later one.
+    /// Waits until a version or a later one is in force at every live proxy.
     Wait {
         /// The version.
         version: Version,
     },
-    /// Takes targets out under a permit: backends by name, proxies as proxy:NAME.
-    Out(outs::Out),
-    /// Says that targets run again, after a permit's holder is done with them.
+    /// Takes targets out of service under a permit: backends by name, proxies as proxy:NAME.
+    Out(outs::OutArguments),
+    /// Reports that targets run again after the holder of a permit has finished with them.
     Back {
-        /// Which.
+        /// The targets.
         #[arg(required = true)]
         targets: Vec<String>,
-        /// The permit under which they are out, as 'out' told it: a call that comes late or twice then brings nothing
-        /// back that is another's by now. Needed where the permit is not the caller's own.
+        /// The permit under which they are out, as 'out' printed it. With it, a late or repeated call does not return
+        /// targets that are out under another permit by now. Required unless the permit is the caller's own.
         #[arg(long)]
         permit: Option<u64>,
-        /// What they run now; has to be said where they were out for a release.
+        /// The version they run now; required if they were out for a release.
         #[arg(long, value_name = "LABEL")]
         runs: Option<String>,
     },
-    /// Lists permits, what is out, and what it waits for.
+    /// Lists permits, the targets that are out, and what they wait for.
     Outs,
-    /// Gives a permit up, whether it waits or is out; what is out comes back.
+    /// Withdraws a permit, granted or waiting; its targets return to service.
     Withdraw {
-        /// Its number, as 'out' and 'outs' tell it.
+        /// Its number, as printed by 'out' and 'outs'.
         wish: String,
     },
-    /// Lets nothing go out from here on, and brings back what has not been emptied.
+    /// Stops granting permits, and returns targets that are not yet empty.
     Halt {
-        /// Why.
+        /// Reason.
         #[arg(long)]
         why: String,
     },
-    /// Lets permits be granted again.
+    /// Grants permits again.
     Resume,
-    /// Says that a proxy that is silent has ended for good.
+    /// Declares that a silent proxy has ended for good.
     Forget {
         /// Its name.
         proxy: String,
     },
-    /// Releases in waves: planned, begun, halted, taken back.
+    /// Manages releases in waves: plan, begin, halt, roll back.
     Release {
-        /// How.
+        /// The command.
         #[command(subcommand)]
-        how: releases::How,
+        how: releases::ReleaseCommand,
     },
-    /// Tells or sets how many may be out at once.
-    Budget(outs::Budget),
-    /// Changes who votes.
+    /// Shows or sets how many targets may be out at once.
+    Budget(outs::BudgetArguments),
+    /// Changes the set of voters.
     Voters {
-        /// How.
+        /// The command.
         #[command(subcommand)]
-        how: Voters,
+        how: VotersCommand,
     },
-    /// After a majority of the voters is lost for good: makes this voter's store that of a fleet of one.
+    /// Turns this voter's store into that of a fleet with one voter, after a majority of the voters is lost for good.
     LastResort {
-        /// Does not ask.
+        /// Does not ask for confirmation.
         #[arg(long)]
         i_know_that_the_others_never_come_back: bool,
     },
 }
 
-/// Changes of the voters.
+/// Changes to the set of voters.
 #[derive(Subcommand)]
-pub enum Voters {
-    /// One more.
+pub enum VotersCommand {
+    /// Adds a voter.
     Add {
         /// Its name.
         name: String,
         /// Where it listens for the fleet.
         address: SocketAddr,
     },
-    /// One less.
+    /// Removes a voter.
     Remove {
         /// Its name.
         name: String,
     },
-    /// One in the place of another.
+    /// Replaces a voter by another.
     Replace {
-        /// Who goes.
+        /// Name of the voter to remove.
         old: String,
-        /// Who comes.
+        /// Name of the voter to add.
         name: String,
         /// Where it listens for the fleet.
         address: SocketAddr,
     },
 }
 
-/// How a call came out, apart from well.
+/// Why a command failed; each variant has its exit code.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum Failed {
-    /// Exit code 2.
+pub(super) enum CallError {
+    /// The command or a file is invalid: exit code 2.
     #[error("{0}")]
-    Wrong(String),
-    /// Exit code 1.
+    Invalid(String),
+    /// The fleet refuses the change: exit code 1.
     #[error("{0}")]
-    Refused(String),
-    /// Exit code 3.
+    Rejected(String),
+    /// Another change came first: exit code 3.
     #[error("{0}")]
-    Overtaken(String),
-    /// Exit code 4.
+    Conflict(String),
+    /// No voter or no majority answers: exit code 4.
     #[error("{0}")]
-    Nobody(String),
+    Unavailable(String),
 }
 
-impl Failed {
+impl CallError {
     fn code(&self) -> u8 {
         match self {
-            Failed::Refused(_) => 1,
-            Failed::Wrong(_) => 2,
-            Failed::Overtaken(_) => 3,
-            Failed::Nobody(_) => 4,
+            CallError::Rejected(_) => 1,
+            CallError::Invalid(_) => 2,
+            CallError::Conflict(_) => 3,
+            CallError::Unavailable(_) => 4,
         }
     }
 }
 
-pub(super) type Result<T> = std::result::Result<T, Failed>;
+pub(super) type Result<T> = std::result::Result<T, CallError>;
 
-/// Carries a call out. Exit codes: 0 done, 1 the proxies refuse it, 2 the call or a file is wrong, 3 somebody else was
-/// first, 4 no voter answers or no majority does.
-pub fn call(whose: &Whose, call: Call) -> ExitCode {
-    match act(whose, call) {
+/// Runs a command. Exit codes: 0 success, 1 refused by the proxies, 2 invalid command or file, 3 another change came
+/// first, 4 no voter or no majority answers.
+pub fn run_command(arguments: &FleetArguments, call: FleetCommand) -> ExitCode {
+    match execute(arguments, call) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            if whose.json {
+            if arguments.json {
                 println!("{}", json!({"error": e.to_string(), "code": e.code()}));
             } else {
                 eprintln!("sandgap: {e}");
@@ -235,80 +235,82 @@
     }
 }
 
-fn act(whose: &Whose, call: Call) -> Result<()> {
-    let config = load::read(&whose.settings).map_err(Failed::Wrong)?;
-    let path = whose.settings.display();
-    let fleet =
-        config.fleet.clone().ok_or_else(|| Failed::Wrong(format!("{path}: [fleet] listen is not set")))?;
+fn execute(arguments: &FleetArguments, call: FleetCommand) -> Result<()> {
+    let config = load::read(&arguments.settings).map_err(CallError::Invalid)?;
+    let path = arguments.settings.display();
+    let fleet = config
+        .fleet
+        .clone()
+        .ok_or_else(|| CallError::Invalid(format!("{path}: [fleet] listen is not set")))?;
     match call {
-        Call::Found => return found(&fleet),
-        Call::LastResort { i_know_that_the_others_never_come_back: sure } => {
+        FleetCommand::Found => return create_store(&fleet),
+        FleetCommand::LastResort { i_know_that_the_others_never_come_back: sure } => {
             return last_resort(&fleet, sure);
         }
         _ => {}
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| Failed::Wrong(e.to_string()))?;
+    let runtime = runtime.map_err(|e| CallError::Invalid(e.to_string()))?;
     LocalSet::new().block_on(&runtime, async {
-        let patience = Duration::from_secs(whose.patience);
-        Caller::new(fleet, whose.json, patience).act(call, &config).await
+        let patience = Duration::from_secs(arguments.patience);
+        Caller::new(fleet, arguments.json, patience).execute(call, &config).await
     })
 }
 
-fn store(fleet: &Fleet) -> Result<&Path> {
-    let wanted = "this proxy is no voter with a store: name it in a [[voter]], and set [fleet] store";
-    fleet.store.as_deref().filter(|_| fleet.votes()).ok_or_else(|| Failed::Wrong(wanted.into()))
+fn voter_store_path(fleet: &Fleet) -> Result<&Path> {
+    let wanted = "this proxy is not a voter with a store: name it in a [[voter]], and set [fleet] store";
+    fleet.store.as_deref().filter(|_| fleet.votes()).ok_or_else(|| CallError::Invalid(wanted.into()))
 }
 
-fn found(fleet: &Fleet) -> Result<()> {
-    let path = store(fleet)?;
+fn create_store(fleet: &Fleet) -> Result<()> {
+    let path = voter_store_path(fleet)?;
     let seats: BTreeMap<u64, Seat> = fleet
         .voters
         .iter()
         .map(|(name, address)| (fresh_seat(name, 0), Seat { name: name.clone(), address: *address }))
         .collect();
     let saved = Saved::founding(fresh_seat(&fleet.name, 0), &seats);
-    Store::create(path, &saved).map_err(|e| Failed::Wrong(e.to_string()))?;
+    Store::create(path, &saved).map_err(|e| CallError::Invalid(e.to_string()))?;
     let names: Vec<&str> = fleet.voters.iter().map(|(name, _)| name.as_str()).collect();
-    println!("{}: made; the voters are {}", path.display(), names.join(", "));
+    println!("{}: created; the voters are {}", path.display(), names.join(", "));
     Ok(())
 }
 
 fn last_resort(fleet: &Fleet, sure: bool) -> Result<()> {
-    let path = store(fleet)?;
+    let path = voter_store_path(fleet)?;
     let saved = match Store::open(path) {
         Opened::Sound(_, saved) => saved,
-        Opened::Missing => return Err(Failed::Wrong(format!("{}: there is no store", path.display()))),
+        Opened::Missing => return Err(CallError::Invalid(format!("{}: there is no store", path.display()))),
         Opened::Damaged(why) | Opened::Unavailable(why) => {
-            return Err(Failed::Wrong(format!("{}: {why}", path.display())));
+            return Err(CallError::Invalid(format!("{}: {why}", path.display())));
         }
     };
     if !sure {
         let word = format!("only {} is left", fleet.name);
         println!(
-            "Whatever the other voters agreed on that this one has not heard of is forgotten. If one of them ever comes\n\
-             back with its disk, there are two fleets, and their proxies may contradict each other without end. Stop\n\
-             all other voters and move their stores away first. To go on, type: {word}"
+            "Everything that the other voters agreed on and this one has not received is lost. If one of them ever returns\n\
+             with its disk, there are two fleets, and their proxies may contradict each other for an unlimited time.\n\
+             Stop all other voters and move their stores away first. To continue, type: {word}"
         );
         let _ = std::io::stdout().flush();
         let mut line = String::new();
         let _ = std::io::stdin().lock().read_line(&mut line);
         if line.trim() != word {
-            return Err(Failed::Refused("nothing was changed".into()));
+            return Err(CallError::Rejected("nothing was changed".into()));
         }
     }
-    let alone = saved.alone(riders()).map_err(|e| Failed::Wrong(e.to_string()))?;
-    let aside = Store::replace(path, &alone).map_err(|e| Failed::Wrong(e.to_string()))?;
+    let alone = saved.alone(riders()).map_err(|e| CallError::Invalid(e.to_string()))?;
+    let aside = Store::replace(path, &alone).map_err(|e| CallError::Invalid(e.to_string()))?;
     println!(
-        "{}: the store of a fleet of one; the old one is {}. Start this proxy, then 'sandgap fleet voters add' others, \
-         which begin without a store",
+        "{}: now the store of a fleet with one voter; the old store is {}. Start this proxy, then add other voters \
+         with 'sandgap fleet voters add'; they start without a store",
         path.display(),
         aside.display()
     );
     Ok(())
 }
 
-/// Speaks to the voters.
+/// Connection of a command to the voters.
 pub(super) struct Caller {
     fleet: Fleet,
     pub(super) json: bool,
@@ -321,44 +323,46 @@
 impl Caller {
     fn new(fleet: Fleet, json: bool, patience: Duration) -> Self {
         let (sender, incoming) = mpsc::channel(64);
-        let chance = super::now().as_nanos() as u64 ^ u64::from(std::process::id()) << 32;
-        let links = Links::new(fleet.key.clone(), format!("hand-{chance:x}"), sender);
-        Caller { fleet, json, end: Instant::now() + patience, links, incoming, next: chance }
+        let seed = super::now().as_nanos() as u64 ^ u64::from(std::process::id()) << 32;
+        let links = Links::new(fleet.key.clone(), format!("hand-{seed:x}"), sender);
+        Caller { fleet, json, end: Instant::now() + patience, links, incoming, next: seed }
     }
 
-    async fn act(mut self, call: Call, config: &Config) -> Result<()> {
+    async fn execute(mut self, call: FleetCommand, config: &Config) -> Result<()> {
         match call {
-            Call::Publish { file, why, parent, dry_run } => self.publish(&file, why, parent, dry_run).await,
-            Call::Rollback { version } => {
+            FleetCommand::Publish { file, why, parent, dry_run } => {
+                self.publish(&file, why, parent, dry_run).await
+            }
+            FleetCommand::Rollback { version } => {
                 let book = self.book(version).await?;
-                self.put_forward(&book, format!("rollback to {version}"), None).await
+                self.propose(&book, format!("rollback to {version}"), None).await
             }
-            Call::Drain { backend } => self.drain(&backend, true).await,
-            Call::Undrain { backend } => self.drain(&backend, false).await,
-            Call::Diff { old, new } => self.diff(old, new).await,
-            Call::Show { version } => {
-                let version = self.or_standing(version).await?;
-                print!("{}", book::text(&self.book(version).await?));
+            FleetCommand::Drain { backend } => self.drain(&backend, true).await,
+            FleetCommand::Undrain { backend } => self.drain(&backend, false).await,
+            FleetCommand::Diff { old, new } => self.diff(old, new).await,
+            FleetCommand::Show { version } => {
+                let version = self.version_or_current(version).await?;
+                print!("{}", book::to_toml(&self.book(version).await?));
                 Ok(())
             }
-            Call::History => self.history().await,
-            Call::Status => self.status(config).await,
-            Call::Wait { version } => self.wait(version).await,
-            Call::Voters { how } => self.voters(how).await,
-            Call::Out(out) => self.take_out(out).await,
-            Call::Back { targets, permit, runs } => self.bring_back(&targets, permit, runs).await,
-            Call::Release { how } => self.release(how).await,
-            Call::Outs => self.outs().await,
-            Call::Withdraw { wish } => self.withdraw(&wish).await,
-            Call::Halt { why } => self.do_by_hand(|by| Entry::Halt { by, why }).await,
-            Call::Resume => self.do_by_hand(|by| Entry::Resume { by }).await,
-            Call::Forget { proxy } => self.do_by_hand(|by| Entry::Forget { proxy, by }).await,
-            Call::Budget(budget) => self.budget(budget).await,
-            Call::Found | Call::LastResort { .. } => Ok(()),
+            FleetCommand::History => self.history().await,
+            FleetCommand::Status => self.status(config).await,
+            FleetCommand::Wait { version } => self.wait(version).await,
+            FleetCommand::Voters { how } => self.voters(how).await,
+            FleetCommand::Out(out) => self.request_out(out).await,
+            FleetCommand::Back { targets, permit, runs } => self.bring_back(&targets, permit, runs).await,
+            FleetCommand::Release { how } => self.release(how).await,
+            FleetCommand::Outs => self.outs().await,
+            FleetCommand::Withdraw { wish } => self.withdraw(&wish).await,
+            FleetCommand::Halt { why } => self.submit_and_report(|by| Entry::Halt { by, why }).await,
+            FleetCommand::Resume => self.submit_and_report(|by| Entry::Resume { by }).await,
+            FleetCommand::Forget { proxy } => self.submit_and_report(|by| Entry::Forget { proxy, by }).await,
+            FleetCommand::Budget(budget) => self.budget(budget).await,
+            FleetCommand::Found | FleetCommand::LastResort { .. } => Ok(()),
         }
     }
 
-    /// Asks the voters in turn, `first` before the others, until one's answer is taken.
+    /// Asks the voters in turn, `first` before the others, until `take` accepts an answer.
     pub(super) async fn ask<T>(
         &mut self, first: Option<&str>, word: Word, mut take: impl FnMut(Word) -> Option<T>,
     ) -> Result<T> {
@@ -367,8 +371,8 @@
         while Instant::now() < self.end {
             for (name, address) in &voters {
                 let address = self.fleet.ways.get(name).copied().unwrap_or(*address);
-                self.links.send(name, Some(address), RULES, word.encode());
-                let until = Instant::now() + ANSWER;
+                self.links.send(name, Some(address), RULES_CHANNEL, word.encode());
+                let until = Instant::now() + ANSWER_TIMEOUT;
                 while let Some(left) = until.checked_duration_since(Instant::now()) {
                     let Ok(Some(heard)) = timeout(left, self.incoming.recv()).await else { break };
                     if let Some(taken) = Word::decode(&heard.body).and_then(&mut take) {
@@ -378,22 +382,22 @@
             }
         }
         let names: Vec<&str> = voters.iter().map(|(name, _)| name.as_str()).collect();
-        Err(Failed::Nobody(format!("no voter answers as it should: {}", names.join(", "))))
+        Err(CallError::Unavailable(format!("no voter gives a usable answer: {}", names.join(", "))))
     }
 
-    pub(super) fn number(&mut self) -> u64 {
+    pub(super) fn next_number(&mut self) -> u64 {
         self.next = self.next.wrapping_add(1);
         self.next
     }
 
-    async fn one_status(&mut self, first: Option<&str>) -> Result<Status> {
-        let number = self.number();
+    async fn any_status(&mut self, first: Option<&str>) -> Result<Status> {
+        let number = self.next_number();
         let take = move |word| match word {
             Word::Status(n, status) if n == number => Some(status),
             _ => None,
         };
         let status = self.ask(first, Word::Query(number), take).await?;
-        // The file may be older than the voters: the one that leads may not be named in it.
+        // The file may be older than the set of voters, so it may not name the leader.
         for voter in &status.voters {
             if !self.fleet.voters.iter().any(|(name, _)| *name == voter.0) {
                 self.fleet.voters.push(voter.clone());
@@ -402,77 +406,79 @@
         Ok(status)
     }
 
-    /// The leader's word, if there is one; without a leader nothing can change.
+    /// The leader's status; without a leader nothing can change.
     pub(super) async fn leader(&mut self) -> Result<Status> {
         let mut first: Option<String> = None;
         while Instant::now() < self.end {
-            let status = self.one_status(first.as_deref()).await?;
+            let status = self.any_status(first.as_deref()).await?;
             if status.leader.as_deref() == Some(status.voter.as_str()) {
                 return Ok(status);
             }
             first = status.leader;
             if first.is_none() {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
-        Err(Failed::Nobody(
+        Err(CallError::Unavailable(
             "the voters that answer have no leader: a majority of them is lost or cut off".into(),
         ))
     }
 
-    async fn or_standing(&mut self, version: Option<Version>) -> Result<Version> {
+    async fn version_or_current(&mut self, version: Option<Version>) -> Result<Version> {
         let version = match version {
             Some(version) => version,
             None => self.leader().await?.standing.version,
         };
-        if version == 0 { Err(Failed::Refused("no version is in force yet".into())) } else { Ok(version) }
+        if version == 0 { Err(CallError::Rejected("no version is in force yet".into())) } else { Ok(version) }
     }
 
     async fn book(&mut self, version: Version) -> Result<Rulebook> {
         let status = self.leader().await?;
         if !status.history.iter().any(|line| line.version == version) {
-            return Err(Failed::Wrong(format!("version {version} is not kept; see 'sandgap fleet history'")));
+            return Err(CallError::Invalid(format!(
+                "version {version} is not kept; see 'sandgap fleet history'"
+            )));
         }
         let take = move |word| match word {
             Word::Book(v, bytes) if v == version => Some(bytes),
             _ => None,
         };
         let bytes = self.ask(Some(&status.voter), Word::Fetch(version), take).await?;
-        Rulebook::decode(&bytes).map_err(|e| Failed::Wrong(e.to_string()))
+        Rulebook::decode(&bytes).map_err(|e| CallError::Invalid(e.to_string()))
     }
 
     async fn publish(
         &mut self, file: &Path, why: String, parent: Option<Version>, dry_run: bool,
     ) -> Result<()> {
-        let told = |all: Vec<settings::Problem>| {
+        let join_problems = |all: Vec<settings::Problem>| {
             let lines: Vec<String> = all.iter().map(|p| format!("{}: {p}", file.display())).collect();
-            Failed::Wrong(lines.join("\n"))
+            CallError::Invalid(lines.join("\n"))
         };
-        let config = settings::read(file).map_err(told)?;
-        let mut new = book::of(&config).map_err(Failed::Wrong)?;
+        let config = settings::read(file).map_err(join_problems)?;
+        let mut new = book::from_config(&config).map_err(CallError::Invalid)?;
         let status = self.leader().await?;
         let old = match status.standing.version {
             0 => None,
             version => Some(self.book(version).await?),
         };
-        // Drains by hand stand in no file: they last until they are taken back by hand.
+        // Manual drains are in no file: they last until they are ended manually.
         new.drained = old.as_ref().map(|o| o.drained.clone()).unwrap_or_default();
         if dry_run {
             match &old {
-                Some(old) => self.tell_difference(old, &new),
-                None => println!("the first version: nothing is in force yet"),
+                Some(old) => self.print_difference(old, &new),
+                None => println!("this is the first version: none is in force yet"),
             }
             return Ok(());
         }
-        self.put_forward(&new, why, parent).await
+        self.propose(&new, why, parent).await
     }
 
     async fn drain(&mut self, backend: &str, drained: bool) -> Result<()> {
-        let version = self.or_standing(None).await?;
+        let version = self.version_or_current(None).await?;
         let mut book = self.book(version).await?;
         let listed = book.backends.as_ref().is_none_or(|all| all.iter().any(|b| b.name == backend));
         if drained && !listed {
-            return Err(Failed::Wrong(format!("version {version} lists no backend '{backend}'")));
+            return Err(CallError::Invalid(format!("version {version} lists no backend '{backend}'")));
         }
         let changed =
             if drained { book.drained.insert(backend.to_owned()) } else { book.drained.remove(backend) };
@@ -481,16 +487,16 @@
             return Ok(());
         }
         let why = format!("{} {backend}", if drained { "drain" } else { "undrain" });
-        self.put_forward(&book, why, Some(version)).await
+        self.propose(&book, why, Some(version)).await
     }
 
-    /// Publishes, and follows what becomes of it.
-    async fn put_forward(&mut self, book: &Rulebook, why: String, parent: Option<Version>) -> Result<()> {
-        let book = book.encode().map_err(|e| Failed::Wrong(e.to_string()))?;
+    /// Proposes a rulebook and waits for its outcome.
+    async fn propose(&mut self, book: &Rulebook, why: String, parent: Option<Version>) -> Result<()> {
+        let book = book.encode().map_err(|e| CallError::Invalid(e.to_string()))?;
         let leader = self.leader().await?;
         let parent = parent.unwrap_or(leader.standing.version);
-        let id = self.number();
-        let word = Word::Publish(Proposal { id, parent, book, by: who(), why });
+        let id = self.next_number();
+        let word = Word::Publish(Proposal { id, parent, book, by: caller_name(), why });
         let take = move |word| match word {
             Word::Published(n, verdict) if n == id => Some(verdict),
             _ => None,
@@ -499,15 +505,15 @@
             Verdict::PutForward(version) | Verdict::Again(version) => version,
             Verdict::Lost { standing } => {
                 let text =
-                    format!("version {standing} is in force, not {parent}: look at it, and publish anew");
-                return Err(Failed::Overtaken(text));
+                    format!("version {standing} is in force, not {parent}: review it and publish again");
+                return Err(CallError::Conflict(text));
             }
             Verdict::Busy(other) => {
-                return Err(Failed::Overtaken(format!(
-                    "version {other} is under way: wait for it, and publish anew"
+                return Err(CallError::Conflict(format!(
+                    "version {other} is under way: wait for it and publish again"
                 )));
             }
-            Verdict::Unreadable(why) => return Err(Failed::Wrong(why)),
+            Verdict::Unreadable(why) => return Err(CallError::Invalid(why)),
         };
         loop {
             let status = self.leader().await?;
@@ -524,24 +530,24 @@
                 Some(Fate::Abandoned(why)) => {
                     let told: Vec<String> = why.iter().map(|(who, why)| format!("{who}: {why}")).collect();
                     let text = format!("version {version} was not switched to:\n  {}", told.join("\n  "));
-                    return Err(Failed::Refused(text));
+                    return Err(CallError::Rejected(text));
                 }
-                Some(Fate::Pending) | None => sleep(LOOK).await,
+                Some(Fate::Pending) | None => sleep(POLL_INTERVAL).await,
             }
         }
     }
 
     async fn diff(&mut self, old: Version, new: Option<Version>) -> Result<()> {
-        let new = self.or_standing(new).await?;
+        let new = self.version_or_current(new).await?;
         let (old, new) = (self.book(old).await?, self.book(new).await?);
-        self.tell_difference(&old, &new);
+        self.print_difference(&old, &new);
         Ok(())
     }
 
-    fn tell_difference(&self, old: &Rulebook, new: &Rulebook) {
+    fn print_difference(&self, old: &Rulebook, new: &Rulebook) {
         let against = contradicts(old, new);
-        let (a, b) = (book::text(old), book::text(new));
-        let lines = difference(&a, &b);
+        let (a, b) = (book::to_toml(old), book::to_toml(new));
+        let lines = line_difference(&a, &b);
         if self.json {
             let rules: Vec<_> =
                 against.iter().map(|c| json!({"rule": c.rule, "old": c.old, "new": c.new})).collect();
@@ -587,9 +593,9 @@
         let status = match self.leader().await {
             Ok(status) => status,
             Err(e) => {
-                // Without a leader one voter's own word is better than none.
-                self.end = Instant::now() + 2 * ANSWER;
-                let status = self.one_status(None).await.map_err(|_| e)?;
+                // Without a leader, one voter's own status is better than none.
+                self.end = Instant::now() + 2 * ANSWER_TIMEOUT;
+                let status = self.any_status(None).await.map_err(|_| e)?;
                 eprintln!(
                     "sandgap: no leader: nothing can change; what follows is {}'s word alone",
                     status.voter
@@ -639,30 +645,30 @@
                 println!("every live proxy acts on version {version} or a later one");
                 return Ok(());
             }
-            if Instant::now() + LOOK >= self.end {
+            if Instant::now() + POLL_INTERVAL >= self.end {
                 let text =
                     format!("version {} is in force; behind: {}", status.standing.version, behind.join(", "));
-                return Err(Failed::Refused(text));
+                return Err(CallError::Rejected(text));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn voters(&mut self, how: Voters) -> Result<()> {
+    async fn voters(&mut self, how: VotersCommand) -> Result<()> {
         match how {
-            Voters::Add { name, address } => self.seat(Seating::Add(name, address)).await,
-            Voters::Remove { name } => self.seat(Seating::Remove(name)).await,
-            Voters::Replace { old, name, address } => {
-                // The new one first: there is never a voter less than before.
-                self.seat(Seating::Add(name, address)).await?;
-                self.seat(Seating::Remove(old)).await
+            VotersCommand::Add { name, address } => self.change_voters(Seating::Add(name, address)).await,
+            VotersCommand::Remove { name } => self.change_voters(Seating::Remove(name)).await,
+            VotersCommand::Replace { old, name, address } => {
+                // The new voter is added first, so that the number of voters never drops.
+                self.change_voters(Seating::Add(name, address)).await?;
+                self.change_voters(Seating::Remove(old)).await
             }
         }
     }
 
-    /// Asks for another set of voters until the leader has it.
-    async fn seat(&mut self, change: Seating) -> Result<()> {
-        let there = |status: &Status| match &change {
+    /// Requests a change of the voters until the leader reports it as done.
+    async fn change_voters(&mut self, change: Seating) -> Result<()> {
+        let is_done = |status: &Status| match &change {
             Seating::Add(name, _) | Seating::Rebuild { name, .. } => {
                 status.voters.iter().any(|(v, _)| v == name)
             }
@@ -671,30 +677,34 @@
         let mut why = String::new();
         while Instant::now() < self.end {
             let status = self.leader().await?;
-            if there(&status) {
+            if is_done(&status) {
                 let names: Vec<&str> = status.voters.iter().map(|(name, _)| name.as_str()).collect();
                 println!("the voters are {}", names.join(", "));
                 return Ok(());
             }
-            let number = self.number();
+            let number = self.next_number();
             let take = move |word| match word {
                 Word::Seated(n, why) if n == number => Some(why),
                 _ => None,
             };
             why = self.ask(Some(&status.voter), Word::Seat(number, change.clone()), take).await?;
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        Err(Failed::Refused(if why.is_empty() { "it was not agreed on in time".into() } else { why }))
+        Err(CallError::Rejected(if why.is_empty() {
+            "the change was not agreed in time".into()
+        } else {
+            why
+        }))
     }
 }
 
-/// Who calls.
-pub(super) fn who() -> String {
+/// Name of the calling user.
+pub(super) fn caller_name() -> String {
     std::env::var("USER").unwrap_or_else(|_| "unknown".into())
 }
 
-/// Lines that only one of two texts has, in their order.
-fn difference(old: &str, new: &str) -> Vec<String> {
+/// The lines that differ between two texts, in order.
+fn line_difference(old: &str, new: &str) -> Vec<String> {
     let diff = similar::TextDiff::from_lines(old, new);
     let mut lines: Vec<String> = Vec::new();
     for change in diff.iter_all_changes().filter(|c| c.tag() != similar::ChangeTag::Equal) {
@@ -702,9 +712,9 @@
         let _ = write!(line, "{}{}", change.tag(), change.value().trim_end());
         lines.push(line);
     }
-    if lines.len() > LINES {
-        let more = lines.len() - LINES;
-        lines.truncate(LINES);
+    if lines.len() > MAX_DIFF_LINES {
+        let more = lines.len() - MAX_DIFF_LINES;
+        lines.truncate(MAX_DIFF_LINES);
         lines.push(format!("... and {more} lines more"));
     }
     lines
--- a/crates/sandgap/src/rules/kept_version.rs
+++ b/crates/sandgap/src/rules/kept_version.rs
@@ -1,4 +1,4 @@
-//! The version in force, kept in a file for the next start of the process.
+//! Keeps the version in force in a file for the next start of the process.
 
 use std::fs::File;
 use std::io::{self, Write as _};
@@ -9,13 +9,14 @@
 
 use crate::note;
 
-/// Between two tries to write a file that could not be written.
-const RETRY_WAIT: Duration = Duration::from_millis(500);
-/// Between two lines about it in the log.
-const LOG_WAIT: Duration = Duration::from_secs(10);
+/// Wait before a failed write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Minimum interval between two log lines about failed writes.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Writes the version in force to a file, one at a time and the latest last, on a thread of its own: a slow disk holds up
-/// nobody. What can't be written is tried again until it is, or a later version takes its place.
+/// Writes the version in force to a file, one write at a time and the latest version last. A separate thread writes, so
+/// that a slow disk does not block the event loop. A failed write is retried until it succeeds or a later version
+/// replaces it.
 #[derive(Clone)]
 pub struct KeptVersion(Arc<Shared>);
 
@@ -26,14 +27,14 @@
 
 #[derive(Default)]
 struct Slot {
-    /// What is to be written next; a later version takes the place of one that waits.
+    /// The next version to write; a later version replaces a waiting one.
     next: Option<Vec<u8>>,
-    /// A thread writes.
+    /// Whether a thread is writing.
     busy: bool,
 }
 
 impl KeptVersion {
-    /// Nothing is written yet.
+    /// A writer for this path; nothing is written yet.
     pub fn new(path: PathBuf) -> Self {
         KeptVersion(Arc::new(Shared { path, slot: Mutex::default() }))
     }
@@ -42,7 +43,7 @@
         self.0.slot.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has a version written.
+    /// Schedules a version to be written.
     pub fn put(&self, bytes: Vec<u8>) {
         let mut slot = self.slot();
         slot.next = Some(bytes);
@@ -67,21 +68,21 @@
             };
             drop(slot);
             let Err(e) = replace(path, &bytes) else { continue };
-            if logged.is_none_or(|at| at.elapsed() >= LOG_WAIT) {
-                note!(warn: "{}: {e}; the version in force is not kept yet, and is tried again", path.display());
+            if logged.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
+                note!(warn: "{}: {e}; the version in force is not kept yet; retrying", path.display());
                 logged = Some(Instant::now());
             }
             self.slot().next.get_or_insert(bytes);
-            thread::sleep(RETRY_WAIT);
+            thread::sleep(RETRY_DELAY);
         }
     }
 }
 
-/// Puts other contents in the place of a file's, at once or not at all. All of it is written anew at each try: what a
-/// failed sync leaves in the file is anyone's guess (fsync(2)).
+/// Replaces a file's contents by an atomic rename. Each attempt writes the whole file again, because its contents after a
+/// failed sync are undefined (fsync(2)).
 fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut new = path.as_os_str().to_owned();
-    new.push(".new"); // added, as other files beside it may differ in their ending alone
+    new.push(".new"); // appended, because files in the same directory may differ only in their extension
     let mut file = File::create(&new)?;
     file.write_all(bytes)?;
     file.sync_all()?;
--- a/crates/sandgap/src/rules/mod.rs
+++ b/crates/sandgap/src/rules/mod.rs
@@ -1,8 +1,9 @@
-//! Agreed rules in the daemon: whether a request may be taken now, and under which version. [`runtime`] drives the agent
-//! on sockets and the disk, [`book`] turns settings into rulebooks and back, [`commands`] is what staff call, `outs` of it
-//! what is about permits, `watch` what a proxy does for these.
+//! Agreed rules in the daemon: whether a request may be admitted now, and under which version. [`runtime`] drives the
+//! agent on sockets and the disk, [`book`] converts settings to rulebooks and back, [`commands`] has the `sandgap fleet`
+//! commands, of which `outs` and `releases` hold those about permits and releases, and `watch` reports to leaders for
+//! permits.
 //!
-//! Off unless `[fleet] listen` is set: then the front holds none of this, and no task runs.
+//! All of this is off unless `[fleet] listen` is set: the front then has no rules and no task runs.
 
 pub mod book;
 pub mod commands;
@@ -28,75 +29,81 @@
 
 use crate::event::Lease;
 
-/// What a client that is refused for the want of a lease is told to wait, as a part of T.
-const RETRY: u32 = 2;
+/// A client that is refused for lack of a lease is told to retry after T divided by this.
+const RETRY_AFTER_DIVISOR: u32 = 2;
 
-/// The clock that leases are counted on: it never runs backwards, and goes on while the process stands still or the
-/// machine sleeps (CLOCK_BOOTTIME, clock_gettime(2)).
+/// The clock for leases. It is monotonic and also advances while the process is stopped or the machine sleeps
+/// (CLOCK_BOOTTIME, clock_gettime(2)).
 pub fn now() -> Time {
     let at = clock_gettime(ClockId::Boottime);
     Duration::new(at.tv_sec.max(0) as u64, at.tv_nsec.clamp(0, 999_999_999) as u32)
 }
 
-/// What a request that may be taken brings along.
+/// The result for a request that may be admitted.
 pub struct Taken {
-    /// For classes that are refused without a lease.
+    /// The lease, for classes that are refused without one.
     pub lease: Option<Rc<dyn Lease>>,
-    /// The header that tells backends the version, if the settings want one.
+    /// The header that carries the version to backends, if configured.
     pub header: Option<(HeaderName, HeaderValue)>,
 }
 
-/// The state machines that the log carries beside rules and lives.
+/// The state machines that the log carries in addition to rules and the lives of proxies.
 pub fn riders() -> Riders {
     Riders::none().with(Rollout::default())
 }
 
-/// An agent that its [`runtime`] drives and the front asks.
-pub type Shared = Rc<RefCell<Agent>>;
+/// An agent that [`runtime`] drives and the front queries.
+pub type SharedAgent = Rc<RefCell<Agent>>;
 
-/// Says under which version a request may be taken now.
+/// Decides whether a request may be admitted now, and under which version.
 pub struct Rules {
-    /// Another one while an upgrade ends, see [`runtime`].
-    agent: RefCell<Shared>,
+    /// Replaced by another agent at the end of an upgrade, see [`runtime`].
+    agent: RefCell<SharedAgent>,
     bound: Duration,
     header: Option<HeaderName>,
-    /// Classes that are served without a lease, by the rules known last.
-    serve: RefCell<FxHashSet<String>>,
-    /// The version that was kept from before the start, until one is agreed.
+    /// Classes that are served without a lease, by the latest known rules.
+    serve_without_lease: RefCell<FxHashSet<String>>,
+    /// The version kept from before the start, used until one is agreed.
     kept: Cell<Version>,
 }
 
 impl Rules {
-    /// Rules by an agent that knows nothing yet.
+    /// Rules of an agent without any version yet.
     pub fn new(agent: Agent, bound: Duration, header: Option<HeaderName>) -> Rc<Self> {
-        let (serve, kept) = Default::default();
-        Rc::new(Rules { agent: RefCell::new(Rc::new(RefCell::new(agent))), bound, header, serve, kept })
+        let (serve_without_lease, kept) = Default::default();
+        Rc::new(Rules {
+            agent: RefCell::new(Rc::new(RefCell::new(agent))),
+            bound,
+            header,
+            serve_without_lease,
+            kept,
+        })
     }
 
-    /// The agent that counts.
-    fn agent(&self) -> Shared {
+    /// The agent in use.
+    fn agent(&self) -> SharedAgent {
         self.agent.borrow().clone()
     }
 
-    /// Goes by another agent from now on.
-    fn adopt(&self, agent: Shared) {
+    /// Switches to another agent.
+    fn use_agent(&self, agent: SharedAgent) {
         *self.agent.borrow_mut() = agent;
     }
 
-    /// Whether a request of this class may be taken now; if not, how long its client should wait.
+    /// Admits a request of this class under the current version.
     ///
     /// # Errors
-    /// The wait: the lease has lapsed or there is nothing to act on, and the class is refused then.
+    /// How long the client should wait: the lease has lapsed or there is no version yet, and the class is refused then.
     pub fn take(self: &Rc<Self>, class: &str) -> Result<Taken, Duration> {
         let agent = self.agent();
         let leased = agent.borrow().take(now()).map(|taking| taking.version);
-        let serves = self.serve.borrow().contains(class);
+        let serves = self.serve_without_lease.borrow().contains(class);
         let version = match leased {
             Some(version) => version,
-            None if serves && self.last() > 0 => self.last(),
+            None if serves && self.last_version() > 0 => self.last_version(),
             None => {
                 agent.borrow_mut().count_refused();
-                return Err(self.bound / RETRY);
+                return Err(self.bound / RETRY_AFTER_DIVISOR);
             }
         };
         let header = self.header.clone().map(|name| (name, HeaderValue::from(version)));
@@ -104,18 +111,18 @@
         Ok(Taken { lease, header })
     }
 
-    /// The version that this proxy acted on last.
-    fn last(&self) -> Version {
+    /// The last version in force at this proxy.
+    fn last_version(&self) -> Version {
         match self.agent().borrow().follower().acting() {
             0 => self.kept.get(),
             version => version,
         }
     }
 
-    /// Notes which classes are served without a lease.
-    fn note(&self, book: &Rulebook) {
+    /// Records which classes are served without a lease.
+    fn record_unleased_classes(&self, book: &Rulebook) {
         let serves = book.classes.iter().filter(|c| c.on_lapse == OnLapse::Serve);
-        *self.serve.borrow_mut() = serves.map(|c| c.name.clone()).collect();
+        *self.serve_without_lease.borrow_mut() = serves.map(|c| c.name.clone()).collect();
     }
 }
 
--- a/crates/sandgap/src/rules/outs.rs
+++ b/crates/sandgap/src/rules/outs.rs
@@ -1,4 +1,4 @@
-//! Staff's calls about permits: who is out, for how long, and how many may be at once.
+//! Fleet commands about permits: which targets are out, under which permit, and how many may be out at once.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -10,45 +10,45 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use super::commands::{Caller, Failed, LOOK, Result, who};
+use super::commands::{CallError, Caller, POLL_INTERVAL, Result, caller_name};
 
-/// A wish to take targets out.
+/// Options of `out`, which requests a permit to take targets out.
 #[derive(Args)]
-pub struct Out {
-    /// Backends by name, proxies as proxy:NAME. All go, or none.
+pub struct OutArguments {
+    /// Backends by name, proxies as proxy:NAME. All of them go out, or none.
     #[arg(required = true)]
     targets: Vec<String>,
-    /// Why, for the record.
+    /// Reason, for the record.
     #[arg(long, default_value = "")]
     why: String,
-    /// Waits until all are empty: only then may their holder stop them.
+    /// Waits until all targets are empty: only then may the holder stop them.
     #[arg(long)]
     wait: bool,
-    /// Waits for targets that are out under another permit, instead of being refused.
+    /// Queues for targets that are out under another permit, instead of being refused.
     #[arg(long)]
     queue: bool,
-    /// 0 to 9; higher goes first.
+    /// Priority from 0 to 9; higher goes first.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u8).range(0..10))]
     priority: u8,
-    /// The wish's number, drawn by the caller, in hexadecimal: a call that is repeated with the same one counts once.
+    /// The request's number in hexadecimal, chosen by the caller: repeated calls with the same number count once.
     #[arg(long, value_name = "HEX")]
     wish: Option<String>,
-    /// Passes all bounds for this reason, which stays in the record.
+    /// Overrides all bounds for this reason, which is kept in the record.
     #[arg(long, value_name = "REASON")]
     beyond_bound: Option<String>,
 }
 
-/// How many may be out at once.
+/// Options of `budget`: how many targets may be out at once.
 #[derive(Args)]
-pub struct Budget {
-    /// Sets the bounds; all of them, as SIDE:PER:MOST. SIDE is backend or proxy, PER fleet, zone, cell or kind, MOST a
-    /// count, a part (10%), or need:25% or need:25%:zone-lost.
+pub struct BudgetArguments {
+    /// Replaces all bounds, each as SIDE:PER:MOST. SIDE is backend or proxy; PER is fleet, zone, cell or kind; MOST is a
+    /// count, a percentage (10%), need:25% or need:25%:zone-lost.
     #[arg(long = "set", value_name = "BOUND")]
     bounds: Vec<Bound>,
-    /// Takes all bounds off.
+    /// Removes all bounds.
     #[arg(long, conflicts_with = "bounds")]
     clear: bool,
-    /// Why, for the record.
+    /// Reason, for the record.
     #[arg(long, default_value = "")]
     why: String,
 }
@@ -57,35 +57,35 @@
     names.iter().map(|name| name.parse().unwrap_or_else(|never| match never {})).collect()
 }
 
-fn number(wish: &str) -> Result<u64> {
-    let wrong =
-        || format!("'{wish}' is no wish's number, which is hexadecimal: 'sandgap fleet outs' lists them");
-    u64::from_str_radix(wish, 16).map_err(|_| Failed::Wrong(wrong()))
+fn parse_wish(wish: &str) -> Result<u64> {
+    let wrong = || format!("'{wish}' is not a wish number (hexadecimal): 'sandgap fleet outs' lists them");
+    u64::from_str_radix(wish, 16).map_err(|_| CallError::Invalid(wrong()))
 }
 
 impl Caller {
-    /// Puts an entry into the log; the same entry that arrives twice counts once.
-    pub(super) async fn put(&mut self, entry: &Entry) -> Result<Verdict> {
+    /// Submits an entry to the log; an entry that arrives twice counts once.
+    pub(super) async fn submit(&mut self, entry: &Entry) -> Result<Verdict> {
         let leader = self.leader().await?;
-        let number = self.number();
+        let number = self.next_number();
         let take = move |word| match word {
             Word::Came(n, bytes) if n == number => carry::verdict(&bytes).map(Ok),
             Word::Unput(n, why) if n == number => Some(Err(why)),
             _ => None,
         };
-        let came = self.ask(Some(&leader.voter), Word::Put(number, TAG, carry::encode(entry)), take).await?;
-        match came {
-            Ok(Verdict::Refused(why)) => Err(Failed::Refused(why.to_string())),
+        let answer =
+            self.ask(Some(&leader.voter), Word::Put(number, TAG, carry::encode(entry)), take).await?;
+        match answer {
+            Ok(Verdict::Refused(why)) => Err(CallError::Rejected(why.to_string())),
             Ok(verdict) => Ok(verdict),
-            Err(why) => Err(Failed::Wrong(why)),
+            Err(why) => Err(CallError::Invalid(why)),
         }
     }
 
-    /// How things stand, as the voter that leads has it.
-    pub(super) async fn permits(&mut self) -> Result<Status> {
+    /// The status of permits, from the leader.
+    pub(super) async fn permit_status(&mut self) -> Result<Status> {
         loop {
             let leader = self.leader().await?;
-            let number = self.number();
+            let number = self.next_number();
             let take = move |word| match word {
                 Word::Seen(n, leads, bytes) if n == number => Some(carry::status(&bytes).filter(|_| leads)),
                 Word::Unput(n, _) if n == number => Some(None),
@@ -96,14 +96,14 @@
                 return Ok(status);
             }
             if Instant::now() >= self.end {
-                return Err(Failed::Nobody("the lead changes: ask again".into()));
+                return Err(CallError::Unavailable("the leader changes: try again".into()));
             }
         }
     }
 
-    /// A call that is done at once.
-    pub(super) async fn do_by_hand(&mut self, entry: impl FnOnce(String) -> Entry) -> Result<()> {
-        self.put(&entry(who())).await?;
+    /// Submits an entry and reports that it is done.
+    pub(super) async fn submit_and_report(&mut self, entry: impl FnOnce(String) -> Entry) -> Result<()> {
+        self.submit(&entry(caller_name())).await?;
         if self.json {
             println!("{}", json!({"done": true}));
         } else {
@@ -112,12 +112,12 @@
         Ok(())
     }
 
-    pub(super) async fn take_out(&mut self, out: Out) -> Result<()> {
+    pub(super) async fn request_out(&mut self, out: OutArguments) -> Result<()> {
         let id = match &out.wish {
-            Some(wish) => number(wish)?,
-            None => self.number(),
+            Some(wish) => parse_wish(wish)?,
+            None => self.next_number(),
         };
-        let (holder, why, waits, beyond) = (who(), out.why, out.queue, out.beyond_bound);
+        let (holder, why, waits, beyond) = (caller_name(), out.why, out.queue, out.beyond_bound);
         let asking = Asking {
             id,
             holder,
@@ -128,44 +128,44 @@
             beyond,
             release: None,
         };
-        let verdict = self.put(&Entry::Ask(asking)).await?;
+        let verdict = self.submit(&Entry::Ask(asking)).await?;
         match out.wait {
             true => self.wait_until_empty(id).await,
-            false => self.told_out(id, &verdict, false),
+            false => self.print_permit(id, &verdict, false),
         }
     }
 
-    /// Waits until all that a wish names is out and empty.
+    /// Waits until all targets of a request are out and empty.
     async fn wait_until_empty(&mut self, id: u64) -> Result<()> {
         loop {
-            let status = self.permits().await?;
+            let status = self.permit_status().await?;
             let permit = status.ledger.permits().find(|p| p.asking.id == id);
             let Some(permit) = permit else {
                 let text = format!("wish {id:x} was given up, or its targets have left the fleet");
-                return Err(Failed::Refused(text));
+                return Err(CallError::Rejected(text));
             };
             if let Some((fence, all)) = &permit.grant {
                 if all.values().any(|phase| *phase == Phase::Returning) {
                     let halted = status.ledger.halted();
                     let halted = halted.map_or(String::new(), |(by, why)| format!(": {by} halts: {why}"));
-                    return Err(Failed::Refused(format!("permit {fence} is taken back{halted}")));
+                    return Err(CallError::Rejected(format!("permit {fence} is taken back{halted}")));
                 }
                 if all.values().all(|phase| matches!(phase, Phase::Drained(_))) {
-                    return self.told_out(id, &Verdict::Granted(*fence), true);
+                    return self.print_permit(id, &Verdict::Granted(*fence), true);
                 }
             }
-            if Instant::now() + LOOK >= self.end {
-                return Err(Failed::Refused(format!(
+            if Instant::now() + POLL_INTERVAL >= self.end {
+                return Err(CallError::Rejected(format!(
                     "still waiting ({}); the wish stands: wait on with 'sandgap fleet outs', or give it up with \
                      'sandgap fleet withdraw {id:x}'",
                     waiting_for(&status, permit)
                 )));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn told_out(&self, id: u64, verdict: &Verdict, empty: bool) -> Result<()> {
+    fn print_permit(&self, id: u64, verdict: &Verdict, empty: bool) -> Result<()> {
         let (fence, place) = match verdict {
             Verdict::Granted(fence) => (Some(*fence), None),
             Verdict::Waits(place) => (None, Some(*place)),
@@ -191,13 +191,13 @@
     pub(super) async fn bring_back(
         &mut self, names: &[String], permit: Option<u64>, runs: Option<String>,
     ) -> Result<()> {
-        let status = self.permits().await?;
+        let status = self.permit_status().await?;
         for target in targets(names) {
             let fence = match permit {
                 Some(fence) => fence,
                 None => own_permit(&status, &target)?,
             };
-            self.put(&Entry::Returned { target, fence, runs: runs.clone() }).await?;
+            self.submit(&Entry::Returned { target, fence, runs: runs.clone() }).await?;
         }
         if !self.json {
             println!("coming back; 'sandgap fleet outs' tells when they have been seen well");
@@ -206,16 +206,16 @@
     }
 
     pub(super) async fn withdraw(&mut self, wish: &str) -> Result<()> {
-        let id = number(wish)?;
-        self.do_by_hand(|by| Entry::Withdraw { id, by }).await
+        let id = parse_wish(wish)?;
+        self.submit_and_report(|by| Entry::Withdraw { id, by }).await
     }
 
-    pub(super) async fn budget(&mut self, budget: Budget) -> Result<()> {
+    pub(super) async fn budget(&mut self, budget: BudgetArguments) -> Result<()> {
         if budget.clear || !budget.bounds.is_empty() {
             let (bounds, why) = (budget.bounds, budget.why);
-            return self.do_by_hand(|by| Entry::Bounds { bounds, by, why }).await;
+            return self.submit_and_report(|by| Entry::Bounds { bounds, by, why }).await;
         }
-        let status = self.permits().await?;
+        let status = self.permit_status().await?;
         if self.json {
             let all: Vec<String> = status.ledger.bounds().iter().map(ToString::to_string).collect();
             println!("{}", json!({"bounds": all}));
@@ -228,9 +228,9 @@
     }
 
     pub(super) async fn outs(&mut self) -> Result<()> {
-        let status = self.permits().await?;
+        let status = self.permit_status().await?;
         if self.json {
-            println!("{}", in_json(&status));
+            println!("{}", to_json(&status));
             return Ok(());
         }
         if let Some((by, why)) = status.ledger.halted() {
@@ -246,7 +246,7 @@
                 None => println!("    {}", waiting_for(&status, permit)),
                 Some((_, all)) => all.iter().for_each(|(target, phase)| {
                     let wait = status.waits.iter().find(|(t, _)| t == target).map_or("", |(_, w)| w);
-                    println!("    {target:<20} {:<10} waits for {wait}", word(*phase));
+                    println!("    {target:<20} {:<10} waits for {wait}", phase_name(*phase));
                 }),
             }
         }
@@ -260,7 +260,7 @@
     }
 }
 
-pub(super) fn word(phase: Phase) -> &'static str {
+pub(super) fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Granted => "going out",
         Phase::Drained(_) => "empty",
@@ -268,22 +268,22 @@
     }
 }
 
-/// The caller's permit under which a target is out.
+/// The caller's own permit under which a target is out.
 fn own_permit(status: &Status, target: &Target) -> Result<u64> {
     let out = |p: &&Permit| p.grant.as_ref().is_some_and(|(_, all)| all.contains_key(target));
     let Some(permit) = status.ledger.permits().find(out) else {
-        return Err(Failed::Refused(format!("{target} is not out: 'sandgap fleet outs' lists what is")));
+        return Err(CallError::Rejected(format!("{target} is not out: 'sandgap fleet outs' lists what is")));
     };
     let (fence, holder) = (permit.grant.as_ref().map_or(0, |(fence, _)| *fence), &permit.asking.holder);
-    match *holder == who() {
+    match *holder == caller_name() {
         true => Ok(fence),
-        false => Err(Failed::Refused(format!(
+        false => Err(CallError::Rejected(format!(
             "{target} is out under permit {fence} of {holder}: ask {holder}, or say '--permit {fence}'"
         ))),
     }
 }
 
-/// What a permit waits for, in words.
+/// What a permit waits for, as text.
 fn waiting_for(status: &Status, permit: &Permit) -> String {
     match &permit.grant {
         None => {
@@ -298,11 +298,11 @@
     }
 }
 
-fn in_json(status: &Status) -> Value {
+fn to_json(status: &Status) -> Value {
     let permit = |p: &Permit| {
         let target = |(t, phase): (&Target, &Phase)| {
             let wait = status.waits.iter().find(|(w, _)| w == t).map(|(_, w)| w.clone());
-            json!({"target": t.to_string(), "phase": word(*phase), "waits_for": wait})
+            json!({"target": t.to_string(), "phase": phase_name(*phase), "waits_for": wait})
         };
         let out: Vec<Value> = p.grant.iter().flat_map(|(_, all)| all.iter().map(target)).collect();
         let asked: Vec<String> = p.asking.targets.iter().map(ToString::to_string).collect();
--- a/crates/sandgap/src/rules/releases.rs
+++ b/crates/sandgap/src/rules/releases.rs
@@ -1,4 +1,4 @@
-//! Staff's calls about releases.
+//! Fleet commands about releases.
 
 use std::time::Instant;
 
@@ -8,77 +8,77 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use super::commands::{Caller, Failed, LOOK, Result, who};
-use super::outs::{targets, word};
+use super::commands::{CallError, Caller, POLL_INTERVAL, Result, caller_name};
+use super::outs::{phase_name, targets};
 
-/// What is done with a release.
+/// The release commands.
 #[derive(Subcommand)]
-pub enum How {
-    /// Writes down which targets go from what to what, in waves.
-    Plan(Planned),
-    /// Begins with the first wave.
+pub enum ReleaseCommand {
+    /// Records a plan: which targets change from one version to another, in waves.
+    Plan(PlanArguments),
+    /// Starts the first wave.
     Begin {
         /// The release's name.
         name: String,
     },
-    /// Lets nothing more go out for it.
+    /// Halts a release: no further targets go out for it.
     Halt {
         /// Its name.
         name: String,
-        /// Why.
+        /// Reason.
         #[arg(long)]
         why: String,
     },
-    /// Goes on where it was halted.
+    /// Resumes a halted release.
     Resume {
         /// Its name.
         name: String,
     },
-    /// Takes back all that run it.
+    /// Rolls back all targets that run the new version.
     Back {
         /// Its name.
         name: String,
     },
-    /// Lists releases, and for each target what it runs and waits for.
+    /// Lists releases, with what each target runs and waits for.
     Status,
-    /// Lists targets that are out for a release and empty, with their permit and what they are to run: a line each for
-    /// whoever changes them.
+    /// Lists targets that are out for a release and empty, with their permit and the version to install, one per line for
+    /// the tool that updates them.
     Work {
         /// The release's name.
         name: String,
-        /// Waits until there is one, or the release has ended.
+        /// Waits until there is such a target or the release has ended.
         #[arg(long)]
         wait: bool,
     },
 }
 
-/// A plan.
+/// Options of `release plan`.
 #[derive(Args)]
-pub struct Planned {
-    /// Its name.
+pub struct PlanArguments {
+    /// Name of the release.
     name: String,
-    /// What targets run now.
+    /// The version that targets run now.
     #[arg(long)]
     from: String,
-    /// What they are to run.
+    /// The version that they change to.
     #[arg(long)]
     to: String,
-    /// Targets of a wave, set apart by commas; the first wave is the canary.
+    /// Targets of a wave, separated by commas; the first wave is the canary.
     #[arg(long = "wave", required = true, value_name = "TARGETS")]
     waves: Vec<String>,
-    /// Seconds that a wave is watched at least.
+    /// Minimum time in seconds for which a wave is observed.
     #[arg(long, default_value_t = 60.0)]
     soak: f64,
-    /// Seconds more after which it is halted, if nothing is found until then.
+    /// Further time in seconds after which it is halted without a finding.
     #[arg(long, default_value_t = 600.0)]
     patience_for_finding: f64,
-    /// Failures more, in percent of all, that are worth a halt.
+    /// Increase in failures, in percent of all requests, that causes a halt.
     #[arg(long, default_value_t = 1.0)]
     margin: f64,
-    /// Stays halted where it is found bad, instead of going back by itself.
+    /// Stays halted after a bad finding, instead of an automatic rollback.
     #[arg(long)]
     no_way_back: bool,
-    /// Why, for the record.
+    /// Reason, for the record.
     #[arg(long, default_value = "")]
     why: String,
 }
@@ -88,15 +88,15 @@
 }
 
 fn find<'a>(status: &'a Status, name: &str) -> Result<&'a Release> {
-    // The latest of a name: earlier ones have ended.
+    // Earlier releases of the same name have ended; an active one is preferred.
     let mut all: Vec<&Release> = status.ledger.releases().filter(|r| r.plan.name == name).collect();
     all.sort_by_key(|r| !r.stage.has_ended());
     let known = || status.ledger.releases().map(|r| r.plan.name.as_str()).collect::<Vec<_>>().join(", ");
-    all.pop().ok_or_else(|| Failed::Wrong(format!("no release '{name}'; there are: {}", known())))
+    all.pop().ok_or_else(|| CallError::Invalid(format!("no release '{name}'; known releases: {}", known())))
 }
 
-/// What a target of a release is to run where the release stands.
-fn wanted(release: &Release) -> &str {
+/// The version that targets should run at the release's current stage.
+fn wanted_version(release: &Release) -> &str {
     match release.stage {
         Stage::Wave(_) | Stage::Soaking(_) | Stage::Done => &release.plan.to,
         _ => &release.plan.from,
@@ -104,26 +104,34 @@
 }
 
 impl Caller {
-    pub(super) async fn release(&mut self, how: How) -> Result<()> {
+    pub(super) async fn release(&mut self, how: ReleaseCommand) -> Result<()> {
         match how {
-            How::Plan(planned) => self.plan(planned).await,
-            How::Begin { name } => self.turn(&name, |release, by| Entry::Begin { release, by }).await,
-            How::Halt { name, why } => self.turn(&name, |release, by| Entry::Hold { release, by, why }).await,
-            How::Resume { name } => self.turn(&name, |release, by| Entry::GoOn { release, by }).await,
-            How::Back { name } => self.turn(&name, |release, by| Entry::TurnBack { release, by }).await,
-            How::Status => self.releases().await,
-            How::Work { name, wait } => self.work(&name, wait).await,
+            ReleaseCommand::Plan(planned) => self.plan(planned).await,
+            ReleaseCommand::Begin { name } => {
+                self.change_release(&name, |release, by| Entry::Begin { release, by }).await
+            }
+            ReleaseCommand::Halt { name, why } => {
+                self.change_release(&name, |release, by| Entry::Hold { release, by, why }).await
+            }
+            ReleaseCommand::Resume { name } => {
+                self.change_release(&name, |release, by| Entry::GoOn { release, by }).await
+            }
+            ReleaseCommand::Back { name } => {
+                self.change_release(&name, |release, by| Entry::TurnBack { release, by }).await
+            }
+            ReleaseCommand::Status => self.releases().await,
+            ReleaseCommand::Work { name, wait } => self.work(&name, wait).await,
         }
     }
 
-    async fn plan(&mut self, planned: Planned) -> Result<()> {
+    async fn plan(&mut self, planned: PlanArguments) -> Result<()> {
         let wave = |text: &String| {
             let names: Vec<String> =
                 text.split(',').map(|t| t.trim().to_owned()).filter(|t| !t.is_empty()).collect();
             targets(&names).into_iter().collect::<Vec<Target>>()
         };
         let plan = Plan {
-            id: self.number(),
+            id: self.next_number(),
             waves: planned.waves.iter().map(wave).collect(),
             name: planned.name,
             from: planned.from,
@@ -132,23 +140,23 @@
             patience_ms: ms(planned.patience_for_finding),
             margin: (planned.margin.clamp(0.1, 99.0) * 10.0).round() as u32,
             backs: !planned.no_way_back,
-            by: who(),
+            by: caller_name(),
             why: planned.why,
         };
-        self.do_by_hand(|_| Entry::Plan(Box::new(plan))).await
+        self.submit_and_report(|_| Entry::Plan(Box::new(plan))).await
     }
 
-    async fn turn(&mut self, name: &str, entry: impl FnOnce(u64, String) -> Entry) -> Result<()> {
-        let id = find(&self.permits().await?, name)?.plan.id;
-        self.do_by_hand(|by| entry(id, by)).await
+    async fn change_release(&mut self, name: &str, entry: impl FnOnce(u64, String) -> Entry) -> Result<()> {
+        let id = find(&self.permit_status().await?, name)?.plan.id;
+        self.submit_and_report(|by| entry(id, by)).await
     }
 
     async fn releases(&mut self) -> Result<()> {
-        let status = self.permits().await?;
+        let status = self.permit_status().await?;
         for release in status.ledger.releases() {
             let plan = &release.plan;
             if self.json {
-                println!("{}", in_json(&status, release));
+                println!("{}", to_json(&status, release));
                 continue;
             }
             println!("{}  {} to {}  {}", plan.name, plan.from, plan.to, release.stage);
@@ -169,7 +177,7 @@
 
     async fn work(&mut self, name: &str, wait: bool) -> Result<()> {
         loop {
-            let status = self.permits().await?;
+            let status = self.permit_status().await?;
             let release = find(&status, name)?;
             let empty: Vec<(Target, u64)> = status
                 .ledger
@@ -178,32 +186,32 @@
                 .filter(|(t, ..)| status.ledger.permit_for(release.plan.id, t).is_some())
                 .map(|(t, fence, _)| (t.clone(), fence))
                 .collect();
-            let over = release.stage.has_ended() || Instant::now() + LOOK >= self.end;
+            let over = release.stage.has_ended() || Instant::now() + POLL_INTERVAL >= self.end;
             if !wait || !empty.is_empty() || over {
                 for (target, fence) in empty {
                     if self.json {
                         println!(
                             "{}",
-                            json!({"target": target.to_string(), "permit": fence, "runs": wanted(release)})
+                            json!({"target": target.to_string(), "permit": fence, "runs": wanted_version(release)})
                         );
                     } else {
-                        println!("{target} {fence} {}", wanted(release));
+                        println!("{target} {fence} {}", wanted_version(release));
                     }
                 }
                 return Ok(());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// How far a target is, and what it waits for.
+/// The phase of a target, and what it waits for.
 fn state(status: &Status, release: &Release, target: &Target) -> (&'static str, Option<String>) {
     let Some(permit) = status.ledger.permit_for(release.plan.id, target) else { return ("in use", None) };
     match permit.grant.as_ref().and_then(|(_, all)| all.get(target)) {
         Some(phase) => {
             let waits = status.waits.iter().find(|(t, _)| t == target).map(|(_, w)| w.clone());
-            (word(*phase), waits)
+            (phase_name(*phase), waits)
         }
         None => {
             let why =
@@ -213,7 +221,7 @@
     }
 }
 
-fn in_json(status: &Status, release: &Release) -> Value {
+fn to_json(status: &Status, release: &Release) -> Value {
     let target = |t: &Target| {
         let (phase, waits) = state(status, release, t);
         json!({"target": t.to_string(), "runs": status.ledger.runs(release, t), "phase": phase, "waits_for": waits})
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -1,5 +1,5 @@
-//! Drives the agent of agreed rules: links and members on sockets, the voter's disk on a thread of its own, switches
-//! into the daemon.
+//! Drives the agent of agreed rules: links and membership on sockets, the voter's disk on a separate thread, and
+//! version changes in the daemon.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
 use wharfhitch::{Scope, Settings};
 
 use super::kept_version::KeptVersion;
-use super::voter_disk::{DiskNews, VoterDisk};
+use super::voter_disk::{DiskEvent, VoterDisk};
 use super::watch::Watch;
-use super::{Rules, Shared, book, now, riders};
+use super::{Rules, SharedAgent, book, now, riders};
 use crate::config::Fleet;
 use crate::event::{Inbox, Input};
 use crate::front::Frontend;
@@ -30,55 +30,55 @@
 use crate::retry;
 use crate::socket;
 
-/// The channel of membership on the links.
-pub const MEMBERS: u8 = 1;
-/// The channel of rules.
-pub const RULES: u8 = 2;
-/// Words that wait to be taken in; links wait beyond it.
-const INCOMING: usize = 256;
-/// Words taken in between two looks at the timers.
-const BATCH: usize = 64;
-/// How long a leader that ends waits for another to lead.
-const RETIRE: Duration = Duration::from_millis(100);
-/// Between two tries to take a place that is not free, and between two lines about it.
-const AGAIN: Duration = Duration::from_millis(100);
-const TELL: Duration = Duration::from_secs(10);
-/// The longest wait between two looks at the timers, whatever is due.
-const LOOK: Duration = Duration::from_secs(1);
+/// Link channel for membership messages.
+pub const MEMBERS_CHANNEL: u8 = 1;
+/// Link channel for messages about rules.
+pub const RULES_CHANNEL: u8 = 2;
+/// Queue capacity for incoming messages; links wait when it is full.
+const INCOMING_QUEUE: usize = 256;
+/// Maximum number of further messages handled before timers are checked.
+const MAX_BATCH: usize = 64;
+/// How long a stopping leader waits for the handover of its leadership.
+const RETIRE_WAIT: Duration = Duration::from_millis(100);
+/// Interval between two attempts to join while the fleet address is in use, and between two log lines about it.
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Longest wait before timers are checked.
+const MAX_TIMER_WAIT: Duration = Duration::from_secs(1);
 
-/// What the runtime needs of the process.
+/// The parts of the process that the runtime uses.
 #[derive(Clone)]
 pub struct Parts {
-    /// Whether requests may be taken.
+    /// Decides whether requests may be admitted.
     pub rules: Rc<Rules>,
-    /// Whose settings change.
+    /// Takes over changed settings.
     pub front: Rc<Frontend>,
-    /// Where the module hears of it.
+    /// Passes changes to the decision library.
     pub inbox: Inbox,
-    /// What this proxy was started with, where rules say nothing.
+    /// The settings at the start, for everything that rules don't cover.
     pub base: Settings,
     /// Whether its backends come from discovery.
     pub discovery: bool,
 }
 
-/// See the module.
+/// The runtime of an agent; see the module documentation.
 pub struct Runtime {
     parts: Parts,
-    /// What it drives: the one that counts, or the one that will.
-    agent: Shared,
+    /// The driven agent, which is in use or will be.
+    agent: SharedAgent,
     fleet: Fleet,
     members: Members,
     links: Rc<Links>,
     incoming: mpsc::Receiver<Incoming>,
-    /// The voter's, if there is one.
+    /// The voter's disk, if this proxy is a voter.
     disk: Option<VoterDisk>,
-    /// Where the version in force is kept for the next start.
+    /// Keeps the version in force for the next start.
     kept_version: Option<KeptVersion>,
     watch: Rc<Watch>,
 }
 
-/// Chance for names of questions and elections.
-fn chance() -> u64 {
+/// Random bits for query numbers and elections.
+fn random_u64() -> u64 {
     let mut bytes = [0; 8];
     match getrandom::fill(&mut bytes) {
         Ok(()) => u64::from_le_bytes(bytes),
@@ -86,17 +86,17 @@
     }
 }
 
-/// An agent of this fleet that knows nothing yet.
+/// An agent of this fleet without any state.
 pub fn agent(fleet: &Fleet) -> Agent {
-    Agent::new(now(), &fleet.name, fleet.terms, fleet.voters.clone(), chance())
+    Agent::new(now(), &fleet.name, fleet.terms, fleet.voters.clone(), random_u64())
 }
 
 impl Runtime {
-    /// Takes this proxy's place in the fleet, and takes up a voter's part if it has one.
+    /// Joins the fleet under this proxy's name and address, as a voter if it is one.
     ///
     /// # Errors
-    /// Where the address or the disk can't be used.
-    async fn member(parts: Parts, fleet: Fleet) -> Result<Self, String> {
+    /// If the address or the disk can't be used.
+    async fn as_member(parts: Parts, fleet: Fleet) -> Result<Self, String> {
         let on = fleet.listen;
         let what = format!("fleet on {on}");
         let listener = retry::until_had(&what, || socket::listen(on)).await;
@@ -104,35 +104,35 @@
         let agent = Rc::new(RefCell::new(agent(&fleet)));
         let mut runtime = Self::new(parts, fleet, agent);
         if let Some(path) = runtime.fleet.store.clone().filter(|_| runtime.fleet.votes()) {
-            runtime.vote(&path)?;
+            runtime.open_voter_store(&path)?;
         }
         spawn_local(runtime.links.clone().serve(listener));
-        runtime.take_up_kept();
+        runtime.load_kept_version();
         Ok(runtime)
     }
 
-    /// Asks for leases under a name of its own, while the process before this one still has the place.
-    fn guest(parts: Parts, mut fleet: Fleet) -> Self {
+    /// Asks for leases under a separate name while the older process still holds this proxy's name and address.
+    fn as_guest(parts: Parts, mut fleet: Fleet) -> Self {
         fleet.name = format!("{:.40}~{}", fleet.name, std::process::id());
         let agent = Rc::new(RefCell::new(agent(&fleet)));
-        parts.rules.adopt(agent.clone());
+        parts.rules.use_agent(agent.clone());
         Self::new(parts, fleet, agent)
     }
 
-    fn new(parts: Parts, fleet: Fleet, agent: Shared) -> Self {
-        let (sender, incoming) = mpsc::channel(INCOMING);
+    fn new(parts: Parts, fleet: Fleet, agent: SharedAgent) -> Self {
+        let (sender, incoming) = mpsc::channel(INCOMING_QUEUE);
         let links = Links::new(fleet.key.clone(), fleet.name.clone(), sender);
         let incarnation = now().as_millis() as u64;
         let (name, zone) = (fleet.name.clone(), fleet.zone.clone());
         let me = Identity { name, address: fleet.listen, incarnation, zone };
-        let members = Members::new(me, Pace::default(), chance());
+        let members = Members::new(me, Pace::default(), random_u64());
         let kept_version = fleet.keep.clone().map(KeptVersion::new);
         let watch = Watch::new(parts.clone(), agent.clone(), fleet.votes(), fleet.zone.clone());
         Runtime { parts, agent, fleet, members, links, incoming, disk: None, kept_version, watch }
     }
 
-    /// Opens the voter's store. One that is missing or damaged is replaced by a blank one, under another seat.
-    fn vote(&mut self, path: &Path) -> Result<(), String> {
+    /// Opens the voter's store. A missing or damaged store is replaced by a blank one with a new seat.
+    fn open_voter_store(&mut self, path: &Path) -> Result<(), String> {
         let (store, saved) = match Store::open(path) {
             Opened::Sound(store, saved) => (store, saved),
             Opened::Unavailable(why) => return Err(format!("{}: {why}", path.display())),
@@ -141,7 +141,7 @@
                     "{}: no store; the other voters are asked for a new seat. A new fleet is founded with \
                      'sandgap fleet found'", path.display()
                 );
-                blank(path)?
+                create_blank_store(path)?
             }
             Opened::Damaged(why) => {
                 let aside = Store::set_aside(path).map_err(|e| e.to_string())?;
@@ -149,21 +149,21 @@
                     "{}: {why}; moved to {}. This voter takes no part until the others have rebuilt it",
                     path.display(), aside.display()
                 );
-                blank(path)?
+                create_blank_store(path)?
             }
         };
         self.disk = Some(VoterDisk::start(path, store).map_err(|e| format!("{}: {e}", path.display()))?);
-        self.vote_from(&saved).map_err(|e| format!("{}: {e}", path.display()))
+        self.start_voting(&saved).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// Has the agent vote from what its disk has.
-    fn vote_from(&self, saved: &Saved) -> Result<(), String> {
+    /// Starts the agent's voter from the state on its disk.
+    fn start_voting(&self, saved: &Saved) -> Result<(), String> {
         let address = self.fleet.listen;
         self.agent.borrow_mut().vote(now(), saved, riders(), address).map_err(|e| e.to_string())
     }
 
-    /// The version acted on before the start serves what may be served without a lease.
-    fn take_up_kept(&mut self) {
+    /// Loads the version kept from before the start, which serves the classes that need no lease.
+    fn load_kept_version(&mut self) {
         let Some(path) = &self.fleet.keep else { return };
         let Ok(bytes) = std::fs::read(path) else { return };
         let kept = bytes.split_first_chunk::<8>();
@@ -172,53 +172,53 @@
             Some((version, Ok(book))) => match self.put_in_force(&book) {
                 Ok(()) => {
                     note!("rules: version {version} was kept; classes that serve without a lease go by it");
-                    self.parts.rules.note(&book);
+                    self.parts.rules.record_unleased_classes(&book);
                     self.parts.rules.kept.set(version);
                 }
                 Err(e) => note!(warn: "rules: the kept version {version} can't be used: {e}"),
             },
-            _ => note!(warn: "{}: no kept version can be read there", path.display()),
+            _ => note!(warn: "{}: the kept version can't be read", path.display()),
         }
     }
 
-    /// Makes this proxy known to the others.
-    fn join(&mut self) {
+    /// Announces this proxy to the voters.
+    fn announce(&mut self) {
         for (name, address) in self.fleet.voters.clone() {
             if name != self.fleet.name {
                 let gossip = self.members.join(now(), &name, address);
-                self.gossip(gossip);
+                self.send_gossip(gossip);
             }
         }
     }
 
-    /// Runs for as long as the process does, or, `until_right`, until its agent has a right.
-    async fn run(&mut self, until_right: bool) {
+    /// Runs as long as the process does, or with `until_leased` until the agent may admit requests.
+    async fn run(&mut self, until_leased: bool) {
         loop {
-            if until_right && self.agent.borrow().take(now()).is_some() {
+            if until_leased && self.agent.borrow().take(now()).is_some() {
                 return;
             }
             let due = self.agent.borrow().next_due();
             let due = self.members.next_due().map_or(due, |at| at.min(due));
-            let wait = due.saturating_sub(now()).min(LOOK);
+            let wait = due.saturating_sub(now()).min(MAX_TIMER_WAIT);
             tokio::select! {
                 Some(incoming) = self.incoming.recv() => {
-                    self.heard(incoming);
-                    for _ in 0..BATCH {
+                    self.handle_message(incoming);
+                    for _ in 0..MAX_BATCH {
                         let Ok(more) = self.incoming.try_recv() else { break };
-                        self.heard(more);
+                        self.handle_message(more);
                     }
                 }
-                news = next_of(&mut self.disk) => self.heard_of_disk(news),
+                news = next_disk_event(&mut self.disk) => self.handle_disk_event(news),
                 () = sleep(wait) => {}
             }
-            self.fire();
+            self.run_timers();
         }
     }
 
-    fn fire(&mut self) {
+    fn run_timers(&mut self) {
         let at = now();
         let gossip = self.members.fire(at);
-        self.gossip(gossip);
+        self.send_gossip(gossip);
         if self.agent.borrow().next_due() <= at {
             let others = self.members.present().into_iter().map(|m| m.name);
             let others = others.filter(|name| *name != self.fleet.name).collect();
@@ -226,64 +226,66 @@
             agent.present(others);
             agent.fire(at);
         }
-        self.carry_out();
+        self.process_outputs();
     }
 
-    fn heard(&mut self, incoming: Incoming) {
+    fn handle_message(&mut self, incoming: Incoming) {
         let Incoming { from, channel, body } = incoming;
         match channel {
-            MEMBERS => {
+            MEMBERS_CHANNEL => {
                 let gossip = self.members.hear(now(), &body);
-                self.gossip(gossip);
+                self.send_gossip(gossip);
             }
-            RULES => {
+            RULES_CHANNEL => {
                 if let Some(word) = Word::decode(&body) {
                     self.agent.borrow_mut().hear(now(), &from, word);
-                    self.carry_out();
+                    self.process_outputs();
                 }
             }
-            _ => {} // of a later version of the program
+            _ => {} // a channel of a later version of the program
         }
     }
 
-    fn heard_of_disk(&mut self, news: DiskNews) {
+    fn handle_disk_event(&mut self, news: DiskEvent) {
         match news {
-            DiskNews::Written(number) => self.agent.borrow_mut().written(now(), number),
-            DiskNews::Failed(why) => self.agent.borrow_mut().disk_failed(&why),
-            DiskNews::Back(saved) => match self.vote_from(&saved) {
+            DiskEvent::Written(number) => self.agent.borrow_mut().written(now(), number),
+            DiskEvent::Failed(why) => self.agent.borrow_mut().disk_failed(&why),
+            DiskEvent::Back(saved) => match self.start_voting(&saved) {
                 Ok(()) => note!("rules: the voter's disk can be written again; this proxy votes"),
-                Err(why) => note!(error: "rules: the voter's disk is back, but can't be voted from: {why}"),
+                Err(why) => {
+                    note!(error: "rules: the voter's disk is back, but the voter can't start from it: {why}")
+                }
             },
         }
     }
 
     fn write(&mut self, write: Write) {
-        let handed_over = self.disk.as_mut().map_or(Err("there is none"), |disk| disk.write(write));
+        let handed_over = self.disk.as_mut().map_or(Err("there is no disk"), |disk| disk.write(write));
         if let Err(why) = handed_over {
             self.agent.borrow_mut().disk_failed(why);
         }
     }
 
-    fn gossip(&mut self, all: Vec<Gossip>) {
+    fn send_gossip(&mut self, all: Vec<Gossip>) {
         for Gossip { to, bytes } in all {
-            let address = self.way(&to.name, Some(to.address));
-            self.links.send(&to.name, address, MEMBERS, bytes);
+            let address = self.dial_address(&to.name, Some(to.address));
+            self.links.send(&to.name, address, MEMBERS_CHANNEL, bytes);
         }
     }
 
-    /// Where a proxy is dialled from here.
-    fn way(&self, name: &str, told: Option<SocketAddr>) -> Option<SocketAddr> {
+    /// The address to dial a proxy: the configured one, otherwise the advertised one.
+    fn dial_address(&self, name: &str, told: Option<SocketAddr>) -> Option<SocketAddr> {
         self.fleet.ways.get(name).copied().or(told)
     }
 
-    fn carry_out(&mut self) {
+    fn process_outputs(&mut self) {
         loop {
             let output = self.agent.borrow_mut().poll();
             let Some(output) = output else { return };
             match output {
                 Output::Say(to, address, word) => {
                     let known = address.or_else(|| self.members.find(&to).map(|m| m.address));
-                    self.links.send(&to, self.way(&to, known), RULES, word.encode());
+                    self.links.send(&to, self.dial_address(&to, known), RULES_CHANNEL, word.encode());
                 }
                 Output::Write(write) => self.write(write),
                 Output::Check(version, rules) => {
@@ -293,9 +295,9 @@
                     }
                     self.agent.borrow_mut().checked(now(), version, usable);
                 }
-                Output::Act(version, rules) => self.act(version, &rules),
-                Output::Told(told) => self.watch.take(&told),
-                Output::Turn(_) => {} // nothing here wants a life yet
+                Output::Act(version, rules) => self.activate(version, &rules),
+                Output::Told(told) => self.watch.apply_orders(&told),
+                Output::Turn(_) => {} // the daemon does not use lives yet
                 Output::Note(text) => note!("{text}"),
             }
         }
@@ -307,11 +309,11 @@
         self.parts.front.would_change(&settings, &names)
     }
 
-    fn act(&mut self, version: Version, rules: &Rulebook) {
-        // It has been checked a moment ago; should requests hold too many classes by now, this one acts on nothing.
+    fn activate(&mut self, version: Version, rules: &Rulebook) {
+        // The version was checked just before. If requests hold too many classes by now, no version is put in force here.
         match self.put_in_force(rules) {
             Ok(()) => {
-                self.parts.rules.note(rules);
+                self.parts.rules.record_unleased_classes(rules);
                 note!("rules: version {version} in force");
                 self.keep(version, rules);
             }
@@ -333,7 +335,7 @@
         Ok(())
     }
 
-    /// Keeps the version for the next start, off the loop: a slow disk holds up nobody.
+    /// Keeps the version for the next start, on another thread so that a slow disk does not block the event loop.
     fn keep(&self, version: Version, rules: &Rulebook) {
         if let (Some(kept), Ok(bytes)) = (&self.kept_version, rules.encode()) {
             kept.put([&version.to_le_bytes()[..], &bytes].concat());
@@ -341,59 +343,60 @@
     }
 }
 
-/// The next news of a voter's disk; never, where there is none.
-async fn next_of(disk: &mut Option<VoterDisk>) -> DiskNews {
+/// The next event of the voter's disk; pending for ever without a disk.
+async fn next_disk_event(disk: &mut Option<VoterDisk>) -> DiskEvent {
     match disk {
         Some(disk) => disk.next().await,
         None => std::future::pending().await,
     }
 }
 
-/// Takes this proxy's place in the fleet. While the process before it still holds the address, as in an upgrade, this
-/// one asks for leases as a guest; once the place is free it takes it, and goes over when it has a lease there.
+/// Joins the fleet. While an older process still holds the address, as in an upgrade, this process asks for leases as a
+/// guest. Once the address is free it joins as a member, and switches over when it has a lease as a member.
 pub async fn serve(parts: Parts, fleet: Fleet) {
     let mut guest: Option<JoinHandle<()>> = None;
-    let mut told: Option<Instant> = None;
+    let mut logged_at: Option<Instant> = None;
     let mut member = loop {
-        match Runtime::member(parts.clone(), fleet.clone()).await {
+        match Runtime::as_member(parts.clone(), fleet.clone()).await {
             Ok(runtime) => break runtime,
             Err(e) => {
-                if told.is_none_or(|at| at.elapsed() >= TELL) {
+                if logged_at.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
                     note!(warn: "rules: {e}; this process asks as a guest until the place is free");
-                    told = Some(Instant::now());
+                    logged_at = Some(Instant::now());
                 }
-                let visit = || {
-                    let mut runtime = Runtime::guest(parts.clone(), fleet.clone());
+                let start_guest = || {
+                    let mut runtime = Runtime::as_guest(parts.clone(), fleet.clone());
                     spawn_local(async move { runtime.run(false).await })
                 };
-                guest.get_or_insert_with(visit);
-                sleep(AGAIN).await;
+                guest.get_or_insert_with(start_guest);
+                sleep(JOIN_RETRY_DELAY).await;
             }
         }
     };
-    member.join();
+    member.announce();
     if let Some(guest) = guest {
         member.run(true).await;
-        parts.rules.adopt(member.agent.clone());
+        parts.rules.use_agent(member.agent.clone());
         guest.abort();
         note!("rules: the place in the fleet is this process's now");
     } else {
-        parts.rules.adopt(member.agent.clone());
+        parts.rules.use_agent(member.agent.clone());
     }
     member.run(false).await;
 }
 
-/// What a proxy that ends does: a leader hands the lead on, so that nobody waits for another to be chosen.
+/// Prepares a proxy for shutdown: a leader transfers its leadership, so that the fleet need not wait for an election.
 pub async fn retire(rules: &Rules) {
     let agent = rules.agent();
     let leads = agent.borrow().voter().is_some_and(|v| v.leads());
     if leads {
         agent.borrow_mut().retire(now());
-        sleep(RETIRE).await;
+        sleep(RETIRE_WAIT).await;
     }
 }
 
-fn blank(path: &Path) -> Result<(Store, Saved), String> {
-    let saved = Saved::blank(chance().max(1));
+/// Creates a blank store with a new seat.
+fn create_blank_store(path: &Path) -> Result<(Store, Saved), String> {
+    let saved = Saved::blank(random_u64().max(1));
     Ok((Store::create(path, &saved).map_err(|e| e.to_string())?, saved))
 }
--- a/crates/sandgap/src/rules/voter_disk.rs
+++ b/crates/sandgap/src/rules/voter_disk.rs
@@ -1,5 +1,4 @@
-//! A voter's disk as its proxy sees it: writes go to a thread of their own, and a disk that has failed is tried again until
-//! it can be written.
+//! The disk of a voter: writes go to a separate thread, and a failed disk is retried until it can be written again.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -12,116 +11,116 @@
 
 use crate::note;
 
-/// Between two tries to open a store whose disk has failed.
-const RETRY_WAIT: Duration = Duration::from_millis(200);
-/// Between two lines about it in the log.
-const LOG_WAIT: Duration = Duration::from_secs(10);
+/// Wait between two attempts to open a store whose disk has failed.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Minimum interval between two log lines about a failed disk.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What there is to tell of a voter's disk.
-pub enum DiskNews {
-    /// The write of this number is on the disk.
+/// An event of a voter's disk.
+pub enum DiskEvent {
+    /// The write with this number is on the disk.
     Written(u64),
-    /// No further write will be, until the disk is back: the voter takes no part meanwhile.
+    /// The disk has failed: no further write succeeds until it recovers, and the voter takes no part meanwhile.
     Failed(String),
-    /// It can be written again, and has this: another voter may go on from it.
+    /// The disk can be written again and holds this state, from which a new voter state may start.
     Back(Saved),
 }
 
-/// What the store's threads say.
-enum Word {
+/// A message from one of the store's threads.
+enum DiskMessage {
     Kept(Result<u64, String>),
     Reopened(Store, Saved),
 }
 
-/// See the module.
+/// A voter's disk; see the module documentation.
 pub struct VoterDisk {
     path: PathBuf,
     /// None while the disk has failed.
     writer: Option<StoreWriter>,
-    /// Of the writer in use, or of the thread that opens the store again: nothing that an earlier one says is heard.
-    words: mpsc::UnboundedReceiver<Word>,
+    /// Messages of the current writer, or of the thread that reopens the store. Messages of earlier threads are discarded.
+    messages: mpsc::UnboundedReceiver<DiskMessage>,
 }
 
 impl VoterDisk {
-    /// Takes over an open store.
+    /// Starts the writer thread of an open store.
     ///
     /// # Errors
-    /// Where the system gives no thread.
+    /// If the thread can't be started.
     pub fn start(path: &Path, store: Store) -> io::Result<Self> {
-        let (writer, words) = keep(store)?;
-        Ok(VoterDisk { path: path.to_owned(), writer: Some(writer), words })
+        let (writer, messages) = start_writer(store)?;
+        Ok(VoterDisk { path: path.to_owned(), writer: Some(writer), messages })
     }
 
-    /// Hands a write over.
+    /// Queues a write.
     ///
     /// # Errors
-    /// Where the disk has failed or is far behind: the voter must take no further part. The store is opened again then.
+    /// If the disk has failed or is far behind: the voter must take no further part, and the store is reopened.
     pub fn write(&mut self, write: Write) -> Result<(), &'static str> {
         let writer = self.writer.as_ref().ok_or("it has failed")?;
         writer.keep(write).inspect_err(|_| self.reopen())
     }
 
-    /// The next news.
-    pub async fn next(&mut self) -> DiskNews {
+    /// The next event.
+    pub async fn next(&mut self) -> DiskEvent {
         loop {
-            match self.words.recv().await {
-                Some(Word::Kept(Ok(number))) => return DiskNews::Written(number),
-                Some(Word::Kept(Err(why))) => {
+            match self.messages.recv().await {
+                Some(DiskMessage::Kept(Ok(number))) => return DiskEvent::Written(number),
+                Some(DiskMessage::Kept(Err(why))) => {
                     self.reopen();
-                    return DiskNews::Failed(why);
+                    return DiskEvent::Failed(why);
                 }
-                Some(Word::Reopened(store, saved)) => match keep(store) {
-                    Ok((writer, words)) => {
-                        (self.writer, self.words) = (Some(writer), words);
-                        return DiskNews::Back(saved);
+                Some(DiskMessage::Reopened(store, saved)) => match start_writer(store) {
+                    Ok((writer, messages)) => {
+                        (self.writer, self.messages) = (Some(writer), messages);
+                        return DiskEvent::Back(saved);
                     }
-                    Err(_) => self.reopen(), // no thread at present
+                    Err(_) => self.reopen(), // no thread is available at present
                 },
-                // Its thread has ended without a word, or there was none to be had.
+                // The thread has ended without a message, or could not be started.
                 None => {
-                    sleep(RETRY_WAIT).await;
+                    sleep(RETRY_DELAY).await;
                     self.reopen();
                 }
             }
         }
     }
 
-    /// Opens the store again, on a thread of its own, however often that takes.
+    /// Reopens the store on a separate thread, with retries.
     fn reopen(&mut self) {
-        self.writer = None; // its thread ends once its writes have, and lets go of the store
-        let (sender, words) = mpsc::unbounded_channel(); // one word
-        self.words = words;
+        self.writer = None; // its thread finishes its writes, closes the store and ends
+        let (sender, messages) = mpsc::unbounded_channel(); // carries one message
+        self.messages = messages;
         let path = self.path.clone();
         let thread = std::thread::Builder::new().name("rules-disk-again".into());
-        if let Err(e) = thread.spawn(move || open_again(&path, &sender)) {
-            note!(error: "rules: {}: no thread to open it again: {e}", self.path.display());
+        if let Err(e) = thread.spawn(move || reopen_store(&path, &sender)) {
+            note!(error: "rules: {}: no thread to reopen it: {e}", self.path.display());
         }
     }
 }
 
-/// A writer of a store, and where it is heard.
-fn keep(store: Store) -> io::Result<(StoreWriter, mpsc::UnboundedReceiver<Word>)> {
-    let (sender, words) = mpsc::unbounded_channel(); // one word a write, and writes are bounded
-    let writer = StoreWriter::start(store, move |kept| drop(sender.send(Word::Kept(kept))))?;
-    Ok((writer, words))
+/// Starts the writer of a store; returns it with its messages.
+fn start_writer(store: Store) -> io::Result<(StoreWriter, mpsc::UnboundedReceiver<DiskMessage>)> {
+    let (sender, messages) = mpsc::unbounded_channel(); // one message per write, and the number of writes is bounded
+    let writer = StoreWriter::start(store, move |kept| drop(sender.send(DiskMessage::Kept(kept))))?;
+    Ok((writer, messages))
 }
 
-/// Tries to open a store until that succeeds, or nobody waits for it any more. One that is missing or damaged now is left
-/// to whoever starts the process anew: to begin blank takes other voters, and staff should know.
-fn open_again(path: &Path, sender: &mpsc::UnboundedSender<Word>) {
+/// Tries to open a store until that succeeds or the receiver is dropped. A store that is now missing or damaged is only
+/// logged and left for a restart of the process: a blank store needs the other voters, and operators should know.
+fn reopen_store(path: &Path, sender: &mpsc::UnboundedSender<DiskMessage>) {
     let mut logged: Option<Instant> = None;
     while !sender.is_closed() {
-        std::thread::sleep(RETRY_WAIT);
+        std::thread::sleep(RETRY_DELAY);
         let why = match Store::renew(path) {
             Opened::Sound(store, saved) => {
-                let _ = sender.send(Word::Reopened(store, saved)); // the process may end
+                let _ = sender.send(DiskMessage::Reopened(store, saved)); // the receiver is gone while the process ends
                 return;
             }
             Opened::Unavailable(why) => why,
             Opened::Missing => "no store".to_owned(),
             Opened::Damaged(why) => format!("damaged: {why}"),
         };
-        if logged.is_none_or(|at| at.elapsed() >= LOG_WAIT) {
+        if logged.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
             note!(warn: "rules: {}: {why}; it is tried again", path.display());
             logged = Some(Instant::now());
         }
--- a/crates/sandgap/src/rules/watch.rs
+++ b/crates/sandgap/src/rules/watch.rs
@@ -1,5 +1,5 @@
-//! What a proxy does for permits: it looks at what a leader orders and tells what it sees. Nothing of it runs while no
-//! bound is set and nobody is out.
+//! A proxy's part in permits: it observes what the leader orders and reports the observations. No task runs while no
+//! bound is set and no target is out.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,35 +15,35 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-use super::Shared;
+use super::SharedAgent;
 use super::runtime::Parts;
 use crate::event::{Input, StatusQuery};
 
-/// Between two looks at what is under way.
-const EACH: Duration = Duration::from_millis(100);
-/// Between two dials of all backends.
-const DIAL: Duration = Duration::from_secs(1);
-/// A backend that has not taken a connection for this span has not answered.
-const ANSWER: Duration = Duration::from_millis(500);
-/// Dials at once: descriptors are for clients.
-const DIALS: usize = 16;
+/// Interval between two reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two rounds that dial all backends.
+const DIAL_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout for connecting to a backend.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of concurrent dials: descriptors are needed for clients.
+const MAX_DIALS: usize = 16;
 
-/// See the module.
+/// Observes and reports for permits; see the module documentation.
 pub struct Watch {
     parts: Parts,
-    agent: Shared,
+    agent: SharedAgent,
     votes: bool,
     zone: Option<String>,
     orders: RefCell<Orders>,
-    /// A task looks.
-    looks: Cell<bool>,
-    /// A task dials.
-    dials: Cell<bool>,
+    /// Whether the reporting task runs.
+    reporting: Cell<bool>,
+    /// Whether the dialling task runs.
+    dialling: Cell<bool>,
     dialled: RefCell<Dialled>,
 }
 
-/// What came of dialling all backends: where each was dialled, and dials without an answer in a row. Nothing before the
-/// first round.
+/// Results of dialling all backends: the address that was dialled, and the number of consecutive failures. `None` before
+/// the first round.
 type Dialled = Option<BTreeMap<String, (SocketAddr, u32)>>;
 
 fn ended((all, failed): (u64, u64)) -> Ended {
@@ -51,51 +51,51 @@
 }
 
 impl Watch {
-    /// One that is ordered nothing yet.
-    pub fn new(parts: Parts, agent: Shared, votes: bool, zone: Option<String>) -> Rc<Self> {
-        let (orders, looks, dials, dialled) = Default::default();
-        Rc::new(Watch { parts, agent, votes, zone, orders, looks, dials, dialled })
+    /// A watch without orders.
+    pub fn new(parts: Parts, agent: SharedAgent, votes: bool, zone: Option<String>) -> Rc<Self> {
+        let (orders, reporting, dialling, dialled) = Default::default();
+        Rc::new(Watch { parts, agent, votes, zone, orders, reporting, dialling, dialled })
     }
 
-    /// Takes orders; none at all end everything.
-    pub fn take(self: &Rc<Self>, told: &[(u8, Vec<u8>)]) {
+    /// Applies new orders; empty orders stop both tasks.
+    pub fn apply_orders(self: &Rc<Self>, told: &[(u8, Vec<u8>)]) {
         let orders = told.iter().find(|(tag, _)| *tag == TAG).map(|(_, bytes)| Orders::decode(bytes));
         let orders = orders.unwrap_or_default();
         self.parts.front.serving().order_out(orders.out);
         let dials = orders.dial && self.votes;
         *self.orders.borrow_mut() = orders;
-        if self.wanted() && !self.looks.replace(true) {
-            spawn_local(self.clone().look());
+        if self.has_orders() && !self.reporting.replace(true) {
+            spawn_local(self.clone().report());
         }
-        if dials && !self.dials.replace(true) {
-            spawn_local(self.clone().dial());
+        if dials && !self.dialling.replace(true) {
+            spawn_local(self.clone().dial_backends());
         }
     }
 
-    fn wanted(&self) -> bool {
+    fn has_orders(&self) -> bool {
         *self.orders.borrow() != Orders::default()
     }
 
-    async fn look(self: Rc<Self>) {
-        while self.wanted() {
-            if let Some(news) = self.news().await {
+    async fn report(self: Rc<Self>) {
+        while self.has_orders() {
+            if let Some(news) = self.observe().await {
                 self.agent.borrow_mut().tell(TAG, news.encode());
             }
-            sleep(EACH).await;
+            sleep(REPORT_INTERVAL).await;
         }
         self.agent.borrow_mut().tell(TAG, Vec::new());
-        self.looks.set(false);
+        self.reporting.set(false);
     }
 
-    async fn news(&self) -> Option<News> {
+    async fn observe(&self) -> Option<News> {
         let orders = self.orders.borrow().clone();
-        // What is acted on now is in the driver's inbox by now, ahead of the question.
+        // The version in force now is already in the driver's inbox, ahead of the query.
         let version = self.agent.borrow().follower().acting();
         let measured = match orders.measure && self.votes {
             true => self.backends().into_iter().map(|(name, _)| name).collect(),
             false => Vec::new(),
         };
-        let (answer, looked) = oneshot::channel();
+        let (answer, observed) = oneshot::channel();
         let (number, cohort) = orders.cohort.unzip();
         let cohort = cohort.unwrap_or_default();
         self.parts.inbox.put(Input::StatusQuery(Box::new(StatusQuery {
@@ -104,26 +104,26 @@
             cohort,
             answer,
         })));
-        let looked = looked.await.ok()?;
-        let missed = self.missed();
+        let observed = observed.await.ok()?;
+        let missed = self.unreachable();
         let front = &self.parts.front;
         Some(News {
             version,
             out: front.serving().is_out(),
             open: u32::try_from(front.busy()).unwrap_or(u32::MAX),
-            held: looked.held,
-            sights: looked.sights.into_iter().map(|(name, held)| Sight { name, held }).collect(),
+            held: observed.held,
+            sights: observed.sights.into_iter().map(|(name, held)| Sight { name, held }).collect(),
             dialled: missed.is_some(),
             missed: missed.unwrap_or_default(),
-            holds: looked.holds,
+            holds: observed.holds,
             zone: self.zone.clone(),
-            ended: ended(looked.ended[1]),
-            cohort: number.map(|n| (n, ended(looked.ended[0]))),
+            ended: ended(observed.ended[1]),
+            cohort: number.map(|n| (n, ended(observed.ended[0]))),
         })
     }
 
-    /// Backends in the rules acted on that don't answer, or have not been dialled where they are now.
-    fn missed(&self) -> Option<Vec<String>> {
+    /// Backends of the rules in force that don't answer or have not been dialled at their current address.
+    fn unreachable(&self) -> Option<Vec<String>> {
         let dialled = self.dialled.borrow();
         let dialled = dialled.as_ref()?;
         let answers = |(name, address): &(String, SocketAddr)| {
@@ -138,17 +138,17 @@
         listed.into_iter().flatten().map(|b| (b.name.clone(), b.address)).collect()
     }
 
-    async fn dial(self: Rc<Self>) {
-        while self.wanted() && self.orders.borrow().dial {
+    async fn dial_backends(self: Rc<Self>) {
+        while self.has_orders() && self.orders.borrow().dial {
             let mut round = BTreeMap::new();
             let (mut waiting, mut under_way) = (self.backends().into_iter(), JoinSet::new());
             loop {
-                while under_way.len() < DIALS
+                while under_way.len() < MAX_DIALS
                     && let Some((name, address)) = waiting.next()
                 {
                     under_way.spawn_local(async move {
-                        let came = timeout(ANSWER, TcpStream::connect(address)).await;
-                        (name, address, matches!(came, Ok(Ok(_))))
+                        let connected = timeout(DIAL_TIMEOUT, TcpStream::connect(address)).await;
+                        (name, address, matches!(connected, Ok(Ok(_))))
                     });
                 }
                 let Some(ended) = under_way.join_next().await else { break };
@@ -158,9 +158,9 @@
                 }
             }
             *self.dialled.borrow_mut() = Some(round);
-            sleep(DIAL).await;
+            sleep(DIAL_INTERVAL).await;
         }
         *self.dialled.borrow_mut() = None;
-        self.dials.set(false);
+        self.dialling.set(false);
     }
 }
--- a/crates/sandgap/src/settings/check.rs
+++ b/crates/sandgap/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Reads a settings file against the schema and finds all that is wrong with it at once.
+//! Checks a settings file against the schema and reports all problems at once.
 
 use std::net::SocketAddr;
 
@@ -8,15 +8,15 @@
 
 use super::schema::{Default, Key, Kind, TABLES, Table};
 
-/// A file on its way through the checks.
+/// The text of a settings file and the problems found in it.
 pub struct Reader<'a> {
     text: &'a str,
-    /// What is wrong so far.
+    /// The problems found so far.
     pub problems: Vec<Problem>,
 }
 
 impl<'a> Reader<'a> {
-    /// Reads a text: the values with all defaults filled in, and what is wrong with them.
+    /// Parses a text; returns the values with all defaults filled in, and the problems.
     pub fn read(text: &'a str) -> (Values, Self) {
         let mut reader = Reader { text, problems: Vec::new() };
         let (spanned, errors) = DeTable::parse_recoverable(text);
@@ -26,77 +26,83 @@
         }
         let mut values = Values::new();
         if errors.is_empty() {
-            reader.tables(spanned.get_ref(), &mut values);
+            reader.check_tables(spanned.get_ref(), &mut values);
         }
         (values, reader)
     }
 
-    /// Notes a problem at a byte of the text.
-    pub fn wrong(&mut self, at: usize, text: String) {
+    /// Adds a problem at a byte offset of the text.
+    pub fn add_at(&mut self, at: usize, text: String) {
         let line = line(self.text, at);
         self.problems.push(Problem { line, text });
     }
 
-    /// Notes that something is missing.
-    pub fn missing(&mut self, text: String) {
+    /// Adds a problem that belongs to no line, such as a missing table.
+    pub fn add_without_line(&mut self, text: String) {
         self.problems.push(Problem { line: 0, text });
     }
 
-    fn tables(&mut self, file: &DeTable, values: &mut Values) {
+    fn check_tables(&mut self, file: &DeTable, values: &mut Values) {
         for (name, value) in file.iter() {
             if !TABLES.iter().any(|t| t.name == name.get_ref()) {
                 let names = TABLES.iter().map(|t| t.name);
                 let nearest = nearest(name.get_ref(), names);
-                self.wrong(name.span().start, format!("there is no table '{}'{nearest}", name.get_ref()));
+                self.add_at(name.span().start, format!("unknown table '{}'{nearest}", name.get_ref()));
                 continue;
             }
             let table = TABLES.iter().find(|t| t.name == name.get_ref()).expect("just found");
-            self.entries(table, value, values);
+            self.check_entries(table, value, values);
         }
         for table in TABLES.iter().filter(|t| !file.keys().any(|k| k.get_ref() == t.name)) {
-            let empty = if table.most == 0 { self.table(table, None) } else { Value::Array(Vec::new()) };
+            let empty =
+                if table.most == 0 { self.check_table(table, None) } else { Value::Array(Vec::new()) };
             values.insert(table.name.into(), empty);
         }
     }
 
-    fn entries(&mut self, table: &Table, value: &Spanned<DeValue>, values: &mut Values) {
+    fn check_entries(&mut self, table: &Table, value: &Spanned<DeValue>, values: &mut Values) {
         let at = value.span().start;
         let filled = match (value.get_ref(), table.most) {
-            (DeValue::Table(one), 0) => self.table(table, Some((one, at))),
+            (DeValue::Table(one), 0) => self.check_table(table, Some((one, at))),
             (DeValue::Array(many), most) if most > 0 => {
                 if many.len() > most {
-                    self.wrong(at, format!("{} [[{}]] are too many; {most} at most", many.len(), table.name));
+                    self.add_at(
+                        at,
+                        format!("{} [[{}]] are too many; the limit is {most}", many.len(), table.name),
+                    );
                 }
                 let mut all = Vec::new();
                 for entry in many.iter().take(most) {
                     match entry.get_ref() {
-                        DeValue::Table(one) => all.push(self.table(table, Some((one, entry.span().start)))),
-                        _ => self.wrong(entry.span().start, format!("[[{}]] holds tables only", table.name)),
+                        DeValue::Table(one) => {
+                            all.push(self.check_table(table, Some((one, entry.span().start))))
+                        }
+                        _ => self.add_at(entry.span().start, format!("[[{}]] holds tables only", table.name)),
                     }
                 }
                 Value::Array(all)
             }
-            (_, 0) => return self.wrong(at, format!("'{0}' is a table: write [{0}]", table.name)),
-            _ => return self.wrong(at, format!("'{0}' may stand several times: write [[{0}]]", table.name)),
+            (_, 0) => return self.add_at(at, format!("'{0}' is a table: write [{0}]", table.name)),
+            _ => return self.add_at(at, format!("'{0}' is a list of tables: write [[{0}]]", table.name)),
         };
         values.insert(table.name.into(), filled);
     }
 
-    /// One table with its defaults.
-    fn table(&mut self, table: &Table, given: Option<(&DeTable, usize)>) -> Value {
+    /// The values of one table with its defaults.
+    fn check_table(&mut self, table: &Table, given: Option<(&DeTable, usize)>) -> Value {
         let mut filled = Values::new();
         if let Some((given, _)) = given {
             for (name, value) in given.iter() {
                 match table.keys.iter().find(|k| k.name == name.get_ref()) {
                     Some(key) => {
-                        if let Some(value) = self.value(key, value) {
+                        if let Some(value) = self.check_value(key, value) {
                             filled.insert(key.name.into(), value);
                         }
                     }
                     None => {
                         let nearest = nearest(name.get_ref(), table.keys.iter().map(|k| k.name));
                         let text = format!("[{}] has no key '{}'{nearest}", table.name, name.get_ref());
-                        self.wrong(name.span().start, text);
+                        self.add_at(name.span().start, text);
                     }
                 }
             }
@@ -113,8 +119,8 @@
                 Default::Required => {
                     let text = format!("[{}] needs '{}': {}", table.name, key.name, key.about);
                     match given {
-                        Some((_, at)) => self.wrong(at, text),
-                        None => self.missing(text),
+                        Some((_, at)) => self.add_at(at, text),
+                        None => self.add_without_line(text),
                     }
                 }
             }
@@ -122,7 +128,7 @@
         Value::Table(filled)
     }
 
-    fn value(&mut self, key: &Key, value: &Spanned<DeValue>) -> Option<Value> {
+    fn check_value(&mut self, key: &Key, value: &Spanned<DeValue>) -> Option<Value> {
         let number = match value.get_ref() {
             DeValue::Integer(i) => {
                 i64::from_str_radix(i.as_str(), i.radix()).ok().map(|n| (n as f64, Some(n)))
@@ -149,7 +155,7 @@
                 Kind::Number(least, most) => format!("a number from {least} to {most}"),
                 Kind::Whole(least, most) => format!("a whole number from {least} to {most}"),
             };
-            self.wrong(value.span().start, format!("'{}' must be {wanted} ({})", key.name, key.about));
+            self.add_at(value.span().start, format!("'{}' must be {wanted} ({})", key.name, key.about));
         }
         good
     }
--- a/crates/sandgap/src/settings/fleet.rs
+++ b/crates/sandgap/src/settings/fleet.rs
@@ -10,42 +10,43 @@
 use sandgap_fleet::limits::NAME;
 
 use super::check::Reader;
-use super::{File, unique};
+use super::{File, check_unique};
 use crate::config::Fleet;
 
-/// The fleet that a file tells of, if it tells of one; what is wrong goes to the reader.
+/// The fleet that a file describes, if any; problems are added to the reader.
 pub(super) fn read(file: &File, reader: &mut Reader) -> Option<Fleet> {
     let Some(listen) = file.fleet.listen else {
         if !file.voter.is_empty() {
-            reader.missing("[[voter]] goes with [fleet] listen".into());
+            reader.add_without_line("[[voter]] goes with [fleet] listen".into());
         }
         return None;
     };
     let name = file.proxy.name.clone();
     for name in file.voter.iter().map(|v| &v.name).chain([&name]).filter(|n| n.len() > NAME) {
-        reader.missing(format!("'{name}': a name in a fleet has {NAME} bytes at most"));
+        reader.add_without_line(format!("'{name}': a name in a fleet may have at most {NAME} bytes"));
     }
-    unique("voter", file.voter.iter().map(|v| v.name.as_str()), reader);
-    unique("way", file.way.iter().map(|w| w.to.as_str()), reader);
+    check_unique("voter", file.voter.iter().map(|v| v.name.as_str()), reader);
+    check_unique("way", file.way.iter().map(|w| w.to.as_str()), reader);
     if file.voter.is_empty() {
-        reader.missing("[fleet] needs its voters: three or five [[voter]]".into());
+        reader.add_without_line("[fleet] needs its voters: three or five [[voter]]".into());
     }
     match file.voter.iter().find(|v| v.name == name) {
         Some(own) if own.address != listen => {
-            reader.missing(format!(
+            reader.add_without_line(format!(
                 "voter '{name}' is this proxy: its address must be [fleet] listen, {listen}"
             ));
         }
         Some(_) if file.fleet.store.is_none() => {
-            reader
-                .missing(format!("voter '{name}' is this proxy: [fleet] needs 'store', the file of its log"));
+            reader.add_without_line(format!(
+                "voter '{name}' is this proxy: [fleet] needs 'store', the file of its log"
+            ));
         }
         _ => {}
     }
     let key = key(file.fleet.key.as_deref(), reader)?;
     let header = match file.fleet.header.as_deref().map(str::parse::<HeaderName>) {
         Some(Err(_)) => {
-            reader.missing("[fleet] header is no name of a header".into());
+            reader.add_without_line("[fleet] header is not a valid header name".into());
             None
         }
         header => header.and_then(Result::ok),
@@ -68,14 +69,14 @@
 
 fn key(path: Option<&str>, reader: &mut Reader) -> Option<Key> {
     let Some(path) = path else {
-        reader.missing("[fleet] needs 'key', a file with the key that all proxies share".into());
+        reader.add_without_line("[fleet] needs 'key', a file with the key that all proxies share".into());
         return None;
     };
     let read = std::fs::read_to_string(path).map_err(|e| e.to_string());
     match read.and_then(|text| Key::parse(&text).map_err(|e| e.to_string())) {
         Ok(key) => Some(key),
         Err(e) => {
-            reader.missing(format!("[fleet] key: {path}: {e}"));
+            reader.add_without_line(format!("[fleet] key: {path}: {e}"));
             None
         }
     }
