--- a/crates/sandgap/src/settings/mod.rs
+++ b/crates/sandgap/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! sandgap's own settings file, for installations without the platform: `deploy/sandgap.toml` is one.
+//! sandgap's own settings file, for installations without the platform. `deploy/sandgap.toml` is an example.
 
 mod check;
 mod fleet;
@@ -14,7 +14,7 @@
 use wharfhitch::settings::{Connections, Names, index_of, number_of};
 use wharfhitch::{Class, Discovery, Effect, Group, Limits, Prices, Rating, Settings, Tenant, ZoneId};
 
-use crate::config::{Config, Fleet, Source, held};
+use crate::config::{Config, Fleet, Source, max_held_requests};
 use crate::event::Host;
 use check::Reader;
 pub use sandgap_problem::Problem;
@@ -126,33 +126,33 @@
     fall_ms: f64,
 }
 
-/// Reads a file.
+/// Reads a settings file.
 ///
 /// # Errors
-/// All that is wrong with it, each with its line and what would be right.
+/// All problems, each with its line and what would be valid.
 pub fn read(path: &Path) -> Result<Config, Vec<Problem>> {
     let text = std::fs::read_to_string(path)
         .map_err(|e| vec![Problem { line: 0, text: format!("the file can't be read: {e}") }])?;
     parse(&text)
 }
 
-/// Reads a text; see [`read`].
+/// Parses the text of a settings file; see [`read`].
 ///
 /// # Errors
-/// All that is wrong with it.
+/// All problems.
 pub fn parse(text: &str) -> Result<Config, Vec<Problem>> {
     let (values, mut reader) = Reader::read(text);
-    // What the tables are about together can be told only where each is right.
+    // Relations between tables can be checked only if each table is valid.
     if reader.problems.is_empty() {
         match values.try_into::<File>() {
             Ok(file) => {
-                relations(&file, &mut reader);
+                check_relations(&file, &mut reader);
                 let fleet = fleet::read(&file, &mut reader);
                 if reader.problems.is_empty() {
                     return Ok(config(file, fleet));
                 }
             }
-            Err(e) => reader.missing(e.message().to_owned()),
+            Err(e) => reader.add_without_line(e.message().to_owned()),
         }
     }
     let mut problems = reader.problems;
@@ -160,44 +160,44 @@
     Err(problems)
 }
 
-/// What no key alone can tell.
-fn relations(file: &File, reader: &mut Reader) {
+/// Checks what involves more than one key.
+fn check_relations(file: &File, reader: &mut Reader) {
     match (file.discovery.address, file.backend.is_empty()) {
         (None, true) => {
-            reader.missing("name the backends: [discovery] with 'address', or [[backend]]".into())
+            reader.add_without_line("name the backends: [discovery] with 'address', or [[backend]]".into())
         }
         (Some(_), false) => {
-            reader.missing("backends come from [discovery] or from [[backend]], not both".into())
+            reader.add_without_line("backends come from [discovery] or from [[backend]], not both".into())
         }
         _ => {}
     }
     if file.class.is_empty() {
-        reader.missing("name at least one [[class]]".into());
+        reader.add_without_line("name at least one [[class]]".into());
     }
     for class in &file.class {
         if class.name.contains(['/', '?', '#']) || class.name == "up" {
-            reader.missing(format!("class '{}' can't be the first part of a path", class.name));
+            reader.add_without_line(format!("class '{}' can't be the first part of a path", class.name));
         }
         if class.aim_ms.is_some_and(|aim| aim > class.deadline_ms) {
-            reader.missing(format!("class '{}': aim_ms is beyond deadline_ms", class.name));
+            reader.add_without_line(format!("class '{}': aim_ms is beyond deadline_ms", class.name));
         }
         if (class.effect == "keyed") != (class.window_ms > 0.0) {
             let text = "window_ms goes with effect = \"keyed\", and a keyed class needs one";
-            reader.missing(format!("class '{}': {text}", class.name));
+            reader.add_without_line(format!("class '{}': {text}", class.name));
         }
     }
-    unique("class", file.class.iter().map(|c| c.name.as_str()), reader);
-    unique("tenant", file.tenant.iter().map(|t| t.name.as_str()), reader);
-    unique("backend", file.backend.iter().map(|b| b.name.as_str()), reader);
+    check_unique("class", file.class.iter().map(|c| c.name.as_str()), reader);
+    check_unique("tenant", file.tenant.iter().map(|t| t.name.as_str()), reader);
+    check_unique("backend", file.backend.iter().map(|b| b.name.as_str()), reader);
     let addresses: Vec<String> = file.backend.iter().map(|b| b.address.to_string()).collect();
-    unique("backend's address", addresses.iter().map(String::as_str), reader);
+    check_unique("backend's address", addresses.iter().map(String::as_str), reader);
 }
 
-fn unique<'a>(what: &str, names: impl Iterator<Item = &'a str>, reader: &mut Reader) {
+fn check_unique<'a>(what: &str, names: impl Iterator<Item = &'a str>, reader: &mut Reader) {
     let mut seen = BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
-            reader.missing(format!("{what} '{name}' stands twice"));
+            reader.add_without_line(format!("{what} '{name}' is listed twice"));
         }
     }
 }
@@ -222,7 +222,8 @@
     }
 }
 
-/// What is not said is safe: only what may run again is served by rules that may be old.
+/// The policy without a lease. The default is the safe choice: only requests that may run again are served under rules
+/// that may be outdated.
 fn on_lapse(c: &ClassTable) -> OnLapse {
     match (c.on_lapse.as_deref(), c.effect.as_str()) {
         (Some("serve"), _) | (None, "safe") => OnLapse::Serve,
@@ -269,7 +270,7 @@
             cold: file.cold.warm_ms,
             fall_multiple: file.cold.fall_multiple,
             fall: file.cold.fall_ms,
-            most_held: held(file.proxy.sockets),
+            most_held: max_held_requests(file.proxy.sockets),
             max_attempts: file.limits.max_attempts,
         },
     };
@@ -289,7 +290,7 @@
         seed,
         memory: file.proxy.memory_mb << 20,
         sockets: file.proxy.sockets,
-        grace: std::time::Duration::MAX, // whoever ends this process says when
+        grace: std::time::Duration::MAX, // the supervisor decides when to end the process
         peers: None,
         known: Json::Null,
         connections: Connections {
@@ -298,14 +299,14 @@
         },
         settings,
         names,
-        shape: Json::Null,
+        platform_file: Json::Null,
         metrics: file.metrics.file.map(Into::into),
         on_lapse,
         fleet,
     }
 }
 
-/// New with each start, as the platform gives it.
+/// A new seed for each start, as the platform provides it.
 fn fresh_seed() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     now.as_nanos() as u64 ^ u64::from(std::process::id()) << 32
--- a/crates/sandgap/src/settings/schema.rs
+++ b/crates/sandgap/src/settings/schema.rs
@@ -1,12 +1,12 @@
-//! Every key of the settings file: what it is for, its unit, default and bounds. This is the only place that
-//! holds them; the reader, `sandgap check` and `sandgap check --keys` all go by it.
+//! Every key of the settings file with its purpose, unit, default and bounds. The parser, `sandgap check` and
+//! `sandgap check --keys` all use this definition.
 
 use crate::generation::MAX_TENANTS;
 
-/// What a key may hold.
+/// The type and bounds of a key's value.
 #[derive(Clone, Copy, Debug)]
 pub enum Kind {
-    /// Any text but the empty one.
+    /// Any text that is not blank.
     Text,
     /// IP address and port.
     Address,
@@ -18,12 +18,12 @@
     Word(&'static [&'static str]),
 }
 
-/// Whether a key must stand there.
+/// The default of a key, or that it is required.
 #[derive(Clone, Copy, Debug)]
 pub enum Default {
-    /// It must.
+    /// The key must be present.
     Required,
-    /// It may be left out, and is then not set.
+    /// The key is optional and has no default value.
     None,
     /// Text.
     Text(&'static str),
@@ -38,11 +38,11 @@
 pub struct Key {
     /// Its name.
     pub name: &'static str,
-    /// What it may hold.
+    /// Type and bounds of its value.
     pub kind: Kind,
-    /// What it is where it is left out.
+    /// Its value if it is left out.
     pub default: Default,
-    /// What it is for, with its unit.
+    /// Its purpose, with its unit.
     pub about: &'static str,
 }
 
@@ -51,11 +51,11 @@
 pub struct Table {
     /// Its name.
     pub name: &'static str,
-    /// Entries that a `[[name]]` may have at most; 0 for a single `[name]`.
+    /// Maximum number of entries of a `[[name]]`; 0 for a single `[name]`.
     pub most: usize,
     /// Its keys.
     pub keys: &'static [Key],
-    /// What it is for.
+    /// Its purpose.
     pub about: &'static str,
 }
 
@@ -63,11 +63,11 @@
     Key { name, kind, default, about }
 }
 
-/// A day, in milliseconds: the upper bound of spans.
+/// Upper bound of durations: one day in milliseconds.
 const DAY_MS: f64 = 86_400_000.0;
 
-/// Backends of a fixed list, and proxies that are dialled elsewhere: more than the largest fleet that is planned for. What
-/// they take in memory is told on the operators' page.
+/// Limits on backends of a fixed list and on `[[way]]` entries: more than the largest fleet planned for. The operators'
+/// documentation states their memory use.
 const MAX_BACKENDS: usize = 65_536;
 const MAX_PROXIES: usize = 65_536;
 
@@ -79,23 +79,18 @@
         about: "this process",
         keys: &[
             key("name", Kind::Text, Default::Text("sandgap"), "its name, for the log"),
-            key("listen", Kind::Address, Default::Required, "where clients connect"),
-            key("admin", Kind::Address, Default::None, "where staff call it by hand: ready, drain, resume"),
-            key("upgrade", Kind::Text, Default::None, "directory in which a newer process finds this one"),
-            key("sockets", Kind::Whole(64, 1_000_000), Default::Whole(1024), "file descriptors it may hold"),
+            key("listen", Kind::Address, Default::Required, "address for clients"),
+            key("admin", Kind::Address, Default::None, "address for admin calls: ready, drain, resume"),
             key(
-                "memory_mb",
-                Kind::Whole(16, 1_000_000),
-                Default::Whole(192),
-                "memory that it may hold, in MiB",
-            ),
-            key("zone", Kind::Text, Default::None, "the zone in which it stands"),
-            key(
-                "seed",
+                "upgrade",
                 Kind::Text,
                 Default::None,
-                "source of chance, hexadecimal; new at each start if left out",
+                "directory of the socket for upgrades by a newer process",
             ),
+            key("sockets", Kind::Whole(64, 1_000_000), Default::Whole(1024), "limit on file descriptors"),
+            key("memory_mb", Kind::Whole(16, 1_000_000), Default::Whole(192), "memory limit, in MiB"),
+            key("zone", Kind::Text, Default::None, "the zone in which it stands"),
+            key("seed", Kind::Text, Default::None, "random seed, hexadecimal; new at each start if left out"),
         ],
     },
     Table {
@@ -103,12 +98,12 @@
         most: 0,
         about: "a service that lists the backends, in place of [[backend]]",
         keys: &[
-            key("address", Kind::Address, Default::None, "where it answers"),
+            key("address", Kind::Address, Default::None, "its address"),
             key(
                 "mode",
                 Kind::Word(&["pushed", "asked"]),
                 Default::Text("pushed"),
-                "whether it pushes changes or is asked",
+                "whether it pushes changes or is asked for them",
             ),
         ],
     },
@@ -118,22 +113,32 @@
         about: "a backend of a fixed list, in place of [discovery]; SIGHUP reads the list again",
         keys: &[
             key("name", Kind::Text, Default::Required, "its name, the same at every proxy"),
-            key("address", Kind::Address, Default::Required, "where it listens"),
+            key("address", Kind::Address, Default::Required, "its address"),
             key("zone", Kind::Text, Default::None, "the zone in which it stands"),
-            key("kind", Kind::Text, Default::None, "its kind of machine; like ones are judged alike"),
+            key(
+                "kind",
+                Kind::Text,
+                Default::None,
+                "its kind of machine; backends of one kind are rated alike",
+            ),
             key(
                 "cell",
                 Kind::Whole(0, i64::MAX),
                 Default::None,
-                "backends of one cell drop each other's repeats",
+                "its cell; backends of a cell drop each other's duplicates",
             ),
             key(
                 "share",
                 Kind::Number(0.01, 1024.0),
                 Default::Number(1.0),
-                "its size in cores, about: where learning begins",
+                "its approximate size in cores: the initial estimate for learning",
+            ),
+            key(
+                "state",
+                Kind::Word(&["up", "draining"]),
+                Default::Text("up"),
+                "whether it takes new requests",
             ),
-            key("state", Kind::Word(&["up", "draining"]), Default::Text("up"), "whether it takes new work"),
         ],
     },
     Table {
@@ -152,46 +157,46 @@
                 "aim_ms",
                 Kind::Number(1.0, DAY_MS),
                 Default::None,
-                "wanted time, ms; the deadline if left out",
+                "target response time, ms; the deadline if left out",
             ),
             key(
                 "deadline_ms",
                 Kind::Number(1.0, DAY_MS),
                 Default::Number(1000.0),
-                "longest wait of a client, ms",
+                "longest time a client waits, ms",
             ),
             key("worth", Kind::Number(0.0, 1e6), Default::Number(1.0), "what an answer in time is worth"),
             key(
                 "group",
                 Kind::Word(&["all", "zone", "cell"]),
                 Default::Text("cell"),
-                "keyed: which backends drop each other's repeats",
+                "keyed: the backends that drop each other's duplicates",
             ),
             key(
                 "window_ms",
                 Kind::Number(0.0, DAY_MS),
                 Default::Number(0.0),
-                "keyed: for how long they do, ms",
+                "keyed: how long they drop duplicates, ms",
             ),
             key(
                 "on_lapse",
                 Kind::Word(&["refuse", "serve"]),
                 Default::None,
-                "without a lease on the fleet's rules: safe classes serve, others refuse if left out",
+                "without a lease on the fleet's rules; if left out, safe classes serve and others refuse",
             ),
         ],
     },
     Table {
         name: "tenant",
         most: MAX_TENANTS,
-        about: "a tenant; where there are any, X-Tenant-Id must name one",
+        about: "a tenant; if there are any, X-Tenant-Id must name one",
         keys: &[
-            key("name", Kind::Text, Default::Required, "as X-Tenant-Id has it"),
+            key("name", Kind::Text, Default::Required, "its name in X-Tenant-Id"),
             key(
                 "allowance_per_s",
                 Kind::Number(0.0, 1e9),
                 Default::Number(1e9),
-                "requests a second over all proxies that count in full",
+                "requests per second, over all proxies, that have their full worth",
             ),
         ],
     },
@@ -205,19 +210,19 @@
                 "dial_timeout_ms",
                 Kind::Number(1.0, 60_000.0),
                 Default::Number(250.0),
-                "a connection not up by then has failed, ms",
+                "timeout for connecting to a backend, ms",
             ),
             key(
                 "idle_close_ms",
                 Kind::Number(100.0, DAY_MS),
                 Default::Number(15_000.0),
-                "backends close a connection that has stood idle for this long, ms",
+                "time after which backends close an idle connection, ms",
             ),
             key(
                 "over_share_worth",
                 Kind::Number(0.0, 1.0),
                 Default::Number(0.2),
-                "worth of a request beyond its tenant's allowance, as a part",
+                "worth of a request beyond its tenant's allowance, as a fraction",
             ),
         ],
     },
@@ -230,25 +235,25 @@
                 "start_capacity",
                 Kind::Number(0.0, 1.0),
                 Default::Number(0.3),
-                "part of its capacity that a fresh one has at least",
+                "least fraction of its capacity that a backend has at its start",
             ),
             key(
                 "warm_ms",
                 Kind::Number(0.0, DAY_MS),
                 Default::Number(10_000.0),
-                "it has all of it after this, ms",
+                "time after which it has full capacity, ms",
             ),
             key(
                 "fall_multiple",
                 Kind::Number(0.1, 1000.0),
                 Default::Number(2.5),
-                "sent more than this multiple of what it can do...",
+                "load above this multiple of its capacity...",
             ),
             key(
                 "fall_ms",
                 Kind::Number(1.0, DAY_MS),
                 Default::Number(1500.0),
-                "...for this long, it falls over, ms",
+                "...for this long makes it fail, ms",
             ),
         ],
     },
@@ -257,25 +262,30 @@
         most: 0,
         about: "proxies that agree on their rules; off without 'listen'",
         keys: &[
-            key("listen", Kind::Address, Default::None, "where other proxies reach this one"),
-            key("key", Kind::Text, Default::None, "file with the key that all share, 64 hexadecimal digits"),
+            key("listen", Kind::Address, Default::None, "address for other proxies"),
+            key(
+                "key",
+                Kind::Text,
+                Default::None,
+                "file with the key that all proxies share, 64 hexadecimal digits",
+            ),
             key(
                 "bound_ms",
                 Kind::Number(100.0, 60_000.0),
                 Default::Number(1000.0),
-                "T: contradicting rules are acted on together no longer than this, ms",
+                "T: longest time for which contradicting rules are in force together, ms",
             ),
             key(
                 "drift_ppm",
                 Kind::Whole(0, 50_000),
                 Default::Whole(1000),
-                "how far a proxy's clock may drift, parts per million",
+                "largest clock drift of a proxy, parts per million",
             ),
             key(
                 "order",
                 Kind::Word(&["overlap", "apart"]),
                 Default::Text("overlap"),
-                "versions overlap for T at most, or are kept apart by waiting for T",
+                "versions overlap for at most T, or are kept apart by waiting for T",
             ),
             key("store", Kind::Text, Default::None, "file of a voter's log; voters need one"),
             key("keep", Kind::Text, Default::None, "file that keeps the rules in force for the next start"),
@@ -285,7 +295,7 @@
     Table {
         name: "voter",
         most: 9,
-        about: "a proxy of the fleet that votes; three or five of them",
+        about: "a proxy of the fleet that votes; use three or five",
         keys: &[
             key("name", Kind::Text, Default::Required, "its [proxy] name"),
             key("address", Kind::Address, Default::Required, "its [fleet] listen"),
@@ -294,21 +304,21 @@
     Table {
         name: "way",
         most: MAX_PROXIES,
-        about: "another proxy of the fleet that is dialled elsewhere from here: over a tunnel, a translated address",
+        about: "another proxy of the fleet that is dialled at another address from here, such as a tunnel or NAT address",
         keys: &[
             key("to", Kind::Text, Default::Required, "its [proxy] name"),
-            key("address", Kind::Address, Default::Required, "where it is dialled"),
+            key("address", Kind::Address, Default::Required, "the address to dial"),
         ],
     },
     Table {
         name: "metrics",
         most: 0,
-        about: "figures for a collector",
+        about: "metrics for a collector",
         keys: &[key(
             "file",
             Kind::Text,
             Default::None,
-            "written anew every 5 s in the Prometheus text format; none if left out",
+            "rewritten every 5 s in the Prometheus text format; none if left out",
         )],
     },
 ];
--- a/crates/sandgap/src/settings/tests.rs
+++ b/crates/sandgap/src/settings/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_good_file_is_read_with_its_defaults() {
+fn a_valid_file_is_read_with_its_defaults() {
     let config = parse(GOOD).expect("good");
     assert_eq!((config.name.as_str(), config.sockets), ("sandgap", 1024));
     assert_eq!(config.settings.classes[0].aim, 800.0);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_file_that_ships_is_good() {
+fn the_shipped_file_is_valid() {
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/sandgap.toml");
     if let Err(problems) = read(Path::new(shipped)) {
         panic!("{problems:?}");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once_with_line_and_mend() {
+fn all_problems_are_reported_at_once_with_line_and_fix() {
     let bad = GOOD
         .replace("listen", "lisen")
         .replace("share = 4", "share = -4")
@@ -61,14 +61,14 @@
         (12, "one of \"safe\", \"keyed\", \"unsafe\""),
         (13, "did you mean 'aim_ms'"),
     ] {
-        let told = found.iter().any(|p| p.starts_with(&format!("line {line}: ")) && p.contains(words));
-        assert!(told, "line {line}, {words}: {found:#?}");
+        let reported = found.iter().any(|p| p.starts_with(&format!("line {line}: ")) && p.contains(words));
+        assert!(reported, "line {line}, {words}: {found:#?}");
     }
     assert_eq!(found.len(), 5, "{found:#?}");
 }
 
 #[test]
-fn each_slip_has_its_word() {
+fn each_mistake_has_its_message() {
     for (from, to, words) in [
         ("\"127.0.0.1:0\"", "\"localhost:0\"", "IP address and a port"),
         ("\"127.0.0.1:0\"", "9000", "IP address and a port"),
@@ -81,7 +81,7 @@
         ("[proxy]", "[proxy", "line 2"),
         ("aim_ms = 800", "aim_ms = 2001", "beyond deadline_ms"),
         ("window_ms = 2500", "", "window_ms goes with"),
-        ("name = \"booking\"", "name = \"page\"", "class 'page' stands twice"),
+        ("name = \"booking\"", "name = \"page\"", "class 'page' is listed twice"),
         ("name = \"booking\"", "name = \"a/b\"", "first part of a path"),
         ("[[class]]", "[discovery]\naddress = \"127.0.0.1:1\"\n[[class]]", "not both"),
         ("[[backend]]\nname = \"b-1\"\naddress = \"127.0.0.1:9101\"\nshare = 4", "", "name the backends"),
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn no_text_makes_the_reader_fall_over() {
-    // A seeded corpus of cuts and swaps of a good file: whatever comes out is a verdict.
+fn no_text_makes_the_parser_panic() {
+    // Seeded mutations of a valid file: the parser must return a result for each.
     let mut rng = 0x5eed_u64;
     let mut next = |n: usize| {
         rng = rng.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
