--- a/crates/sandgap/src/admin.rs
+++ b/crates/sandgap/src/admin.rs
@@ -101,7 +101,8 @@
     Ok(())
 }
 
-/// Answers admin calls for as long as the process runs. A call has taken effect when its answer is sent.
+/// Answers admin calls for as long as the process runs. A call changes the state and determines its
+/// answer before any other task observes the change.
 pub async fn serve(listener: TcpListener, serving: Rc<Serving>, diagnostics: Rc<Diagnostics>) {
     let callers: Rc<std::cell::RefCell<VecDeque<(u64, AbortHandle)>>> = Rc::default();
     for number in 0.. {
@@ -127,7 +128,7 @@
         };
         let (serving, diagnostics) = (serving.clone(), diagnostics.clone());
         let task = spawn_local(async move {
-            let _ = serve_one(stream, mark_complete, serving, diagnostics).await; // errors mean that the caller has left
+            let _ = serve_one(stream, mark_complete, serving, diagnostics).await; // an error means the caller has left
         });
         all.push_back((number, task.abort_handle()));
     }
--- a/crates/sandgap/src/config.rs
+++ b/crates/sandgap/src/config.rs
@@ -55,18 +55,18 @@
     /// Names and addresses of the voters at the start.
     pub voters: Vec<(String, SocketAddr)>,
     /// Addresses at which this proxy dials others, where they differ from the advertised ones.
-    pub ways: BTreeMap<String, SocketAddr>,
+    pub dial_addresses: BTreeMap<String, SocketAddr>,
     /// Path of the voter's store.
     pub store: Option<PathBuf>,
     /// File that keeps the version in force for the next start.
-    pub keep: Option<PathBuf>,
+    pub kept_version_path: Option<PathBuf>,
     /// Header that carries the version to backends.
     pub header: Option<HeaderName>,
 }
 
 impl Fleet {
     /// Whether the settings name this proxy as a voter.
-    pub fn votes(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.voters.iter().any(|(name, _)| *name == self.name)
     }
 }
@@ -86,7 +86,7 @@
     /// Seed of all random draws.
     pub seed: u64,
     /// Memory limit of the process, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// File descriptor limit of the process.
     pub sockets: usize,
     /// Upper limit of the time for finishing requests after SIGTERM, which is otherwise the longest deadline.
@@ -94,7 +94,7 @@
     /// Addresses of the other proxies, if messages to them are allowed.
     pub peers: Option<PeerAddresses>,
     /// The remembered list of backends, in discovery's format; possibly outdated or null.
-    pub known: Value,
+    pub remembered_list: Value,
     /// Settings of the decision library.
     pub settings: Settings,
     /// Names for the numbers in the settings.
--- a/crates/sandgap/src/daemon.rs
+++ b/crates/sandgap/src/daemon.rs
@@ -44,7 +44,7 @@
     path: PathBuf,
     /// The platform's file in force, or null for sandgap's own settings.
     platform_file: Value,
-    fixed: Fixed,
+    restart_only: RestartOnly,
     discovery: Option<watch::Sender<SocketAddr>>,
     inbox: Inbox,
     front: Rc<Frontend>,
@@ -55,7 +55,7 @@
 
 /// Settings that only a restart changes.
 #[derive(PartialEq)]
-struct Fixed {
+struct RestartOnly {
     listen: SocketAddr,
     sockets: usize,
     proxy: (u32, u32, Option<ZoneId>),
@@ -63,10 +63,10 @@
     may_tell: bool,
 }
 
-impl Fixed {
+impl RestartOnly {
     fn of(config: &Config) -> Self {
         let s = &config.settings;
-        Fixed {
+        RestartOnly {
             listen: config.listen,
             sockets: config.sockets,
             proxy: (s.me, s.proxies, s.zone),
@@ -103,8 +103,11 @@
             return Ok(());
         }
         let change = self.front.change(&config.settings, &config.names)?;
-        if Fixed::of(&config) != self.fixed {
-            note!(warn: "changes of listen address, limits, proxy number, zone, discovery mode, weights and peers need a new start; they stay");
+        if RestartOnly::of(&config) != self.restart_only {
+            note!(warn:
+                "changes of listen address, limits, proxy number, zone, discovery mode, weights and peers \
+                 need a new start; they stay"
+            );
         }
         note!("settings in force: classes {}", config.names.classes.join(", "));
         self.inbox.put(Input::Change(Box::new(change)));
@@ -148,13 +151,13 @@
 }
 
 async fn run(path: PathBuf, config: Config) -> Result<(), String> {
-    let at = |what: &str| {
+    let context = |what: &str| {
         let what = what.to_owned();
         move |e: std::io::Error| format!("{what}: {e}")
     };
-    let mut term = signal(SignalKind::terminate()).map_err(at("SIGTERM"))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(at("SIGINT"))?;
-    let hup = signal(SignalKind::hangup()).map_err(at("SIGHUP"))?;
+    let mut term = signal(SignalKind::terminate()).map_err(context("SIGTERM"))?;
+    let mut int = signal(SignalKind::interrupt()).map_err(context("SIGINT"))?;
+    let hup = signal(SignalKind::hangup()).map_err(context("SIGHUP"))?;
     let serving = Rc::new(Serving::default());
     let diagnostics = Diagnostics::new(std::env::var_os(TRACE_VARIABLE).map(PathBuf::from).as_deref());
     spawn_local(record_states(serving.clone(), diagnostics.clone()));
@@ -173,11 +176,11 @@
         None => {
             let on = format!("listen on {}", config.listen);
             let listener = retry::until_had(&on, || front::listen(config.listen)).await;
-            (listener.map_err(at(&on))?, None, None)
+            (listener.map_err(context(&on))?, None, None)
         }
     };
-    let shared = listener.try_clone().map_err(at("the listener"))?;
-    let listener = TcpListener::from_std(listener).map_err(at("the listener"))?;
+    let shared = listener.try_clone().map_err(context("the listener"))?;
+    let listener = TcpListener::from_std(listener).map_err(context("the listener"))?;
     if let Some(listener) = match config.admin {
         Some(address) => admin::listen(address).await,
         None => None,
@@ -189,17 +192,20 @@
         Source::Discovery(address) => Some(watch::channel(*address)).unzip(),
         Source::Fixed(_) => (None, None),
     };
-    let fixed = Fixed::of(&config);
+    let restart_only = RestartOnly::of(&config);
     let peers = match config.peers {
         Some(addresses) => {
             let on = format!("peers on {}", addresses.listen);
             let reads = datagrams.is_none(); // otherwise the older process reads until this one serves
             let socket = match datagrams {
                 Some(handed) => handed,
-                None => retry::until_had(&on, || peers::bind(addresses.listen)).await.map_err(at(&on))?,
+                None => {
+                    retry::until_had(&on, || peers::bind(addresses.listen)).await.map_err(context(&on))?
+                }
             };
-            let peers = peers::Peers::new(addresses, config.settings.me, socket, reads).map_err(at(&on))?;
-            spawn_local(peers.clone().listen(inbox.clone()));
+            let peers =
+                peers::Peers::new(addresses, config.settings.me, socket, reads).map_err(context(&on))?;
+            spawn_local(peers.clone().receive(inbox.clone()));
             Some(peers)
         }
         None => None,
@@ -231,7 +237,7 @@
         Source::Fixed(hosts) => inbox.put(Input::List(Scope::Full, hosts)),
         Source::Discovery(_) => {
             inbox.put(Input::List(Scope::Cached, Vec::new())); // starts the decision library's clock
-            let remembered = discovery::parse_remembered(&config.known).unwrap_or_default();
+            let remembered = discovery::parse_remembered(&config.remembered_list).unwrap_or_default();
             spawn_local(offer_remembered(
                 remembered,
                 discovery::remembered_list_delay(pushed),
@@ -243,10 +249,10 @@
         spawn_local(discovery::follow(addresses, inbox.clone(), (!pushed).then_some(asked)));
     }
     let uploads = UploadLimits {
-        at_once: config.memory / UPLOAD_MEMORY_DIVISOR / MAX_UPLOAD_BYTES,
-        read_ahead_bytes: config.memory / READ_AHEAD_DIVISOR,
+        at_once: config.memory_bytes / UPLOAD_MEMORY_DIVISOR / MAX_UPLOAD_BYTES,
+        read_ahead_bytes: config.memory_bytes / READ_AHEAD_DIVISOR,
     };
-    let address = listener.local_addr().map_err(at("the listener"))?;
+    let address = listener.local_addr().map_err(context("the listener"))?;
     let front = front::Frontend::new(
         inbox.clone(),
         generations,
@@ -262,7 +268,7 @@
     let reload = Reload {
         path,
         platform_file,
-        fixed,
+        restart_only,
         discovery,
         inbox: inbox.clone(),
         front: reloaded,
--- a/crates/sandgap/src/discovery/mod.rs
+++ b/crates/sandgap/src/discovery/mod.rs
@@ -79,8 +79,8 @@
 }
 
 /// How long discovery may take to send its list before the remembered list is used. A local agent answers at once: one
-/// that has not answered within a call's timeout is silent. Elsewhere a list counts only once it has arrived, and a call
-/// may wait in discovery's queue.
+/// that has not answered within a call's timeout is silent. Elsewhere a list counts only once it has arrived, and a
+/// call may wait in discovery's queue.
 pub fn remembered_list_delay(pushed: bool) -> Duration {
     if pushed { CALL_TIMEOUT } else { REMEMBERED_LIST_DELAY }
 }
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Watches pushed lists, where calls are cheap: whenever the watch is in doubt another one is opened, and the old one
-    /// is read until the new one is established.
+    /// Watches pushed lists, where calls are cheap: whenever the watch is in doubt another one is opened, and the old
+    /// one is read until the new one is established.
     async fn watch_pushed(mut self) {
         let (mut old, mut silent, mut regressed) = (None, 0, false);
         loop {
@@ -328,8 +328,8 @@
         None
     }
 
-    /// Records that versions went backwards. Without the count, a service that mixes two lists would be called again and
-    /// again by each proxy.
+    /// Records that versions went backwards. Without the count, a service that mixes two lists would be called again
+    /// and again by each proxy.
     fn record_regression(&mut self) {
         let is_calm = self.regressed_at.is_none_or(|at| at.elapsed() >= REGRESSION_RESET);
         self.regressions = if is_calm { 1 } else { self.regressions.saturating_add(1) };
@@ -343,8 +343,8 @@
         (BACKOFF.0 * 2u32.pow(doublings)).min(BACKOFF.1)
     }
 
-    /// Applies a list that arrived on a call begun at `call_began`. Changes after a `gap` are applied, but a watch resumes
-    /// from the last list before the gap.
+    /// Applies a list that arrived on a call begun at `call_began`. Changes after a `gap` are applied, but a watch
+    /// resumes from the last list before the gap.
     fn apply(&mut self, list: List, gap: bool, call_began: Instant) -> Result<(), WatchError> {
         if self.is_superseded() {
             return Err(WatchError::Unusable("discovery has moved".into()));
--- a/crates/sandgap/src/generation.rs
+++ b/crates/sandgap/src/generation.rs
@@ -46,7 +46,7 @@
     current: Rc<Generation>,
     past: Vec<Weak<Generation>>,
     /// The latest rules by class number.
-    table: Vec<Class>,
+    class_rules: Vec<Class>,
     max_attempts: u32,
     /// All tenants named since the start, by number; `tenant_ids` has their numbers by name.
     tenants: Vec<Tenant>,
@@ -64,7 +64,7 @@
         Generations {
             current: Rc::new(Generation { classes, tenants: tenant_ids.clone() }),
             past: Vec::new(),
-            table: settings.classes.clone(),
+            class_rules: settings.classes.clone(),
             max_attempts: settings.limits.max_attempts,
             tenants: settings.tenants.clone(),
             tenant_ids,
@@ -99,16 +99,17 @@
         self.past.retain(|g| g.strong_count() > 0);
         let (classes, fresh) = self.assign_class_numbers(settings, names)?;
         let tenants = self.assign_tenant_numbers(settings, names)?;
-        self.table
-            .resize_with(self.table.len().max(1 + highest_id(&classes)), || settings.classes[0].clone());
-        classes.iter().for_each(|(_, id, class)| self.table[id.0] = class.clone());
+        self.class_rules.resize_with(self.class_rules.len().max(1 + highest_id(&classes)), || {
+            settings.classes[0].clone()
+        });
+        classes.iter().for_each(|(_, id, class)| self.class_rules[id.0] = class.clone());
         self.longest = self.longest.max(longest_deadline(&settings.classes));
         self.max_attempts = settings.limits.max_attempts;
         let new = Rc::new(Generation { classes, tenants });
         self.past.push(Rc::downgrade(&std::mem::replace(&mut self.current, new)));
-        let live = (0..self.table.len()).map(|id| self.current.holds(ClassId(id))).collect();
+        let live = (0..self.class_rules.len()).map(|id| self.current.holds(ClassId(id))).collect();
         let mut settings = settings.clone();
-        settings.classes = self.table.clone();
+        settings.classes = self.class_rules.clone();
         settings.tenants = self.tenants.clone();
         Ok(Change { settings, live, fresh })
     }
--- a/crates/sandgap/src/handover.rs
+++ b/crates/sandgap/src/handover.rs
@@ -1,11 +1,11 @@
 //! Upgrades: a new process receives the listening socket itself from the old process, so that both accept from the same
 //! queue and no queued connection is lost when the old process stops.
 //!
-//! The old process listens on a Unix socket in a shared directory. The new process sends `HELLO` and receives one header
-//! with the descriptors (SCM_RIGHTS, unix(7)). After that, frames go both ways until one process ends: `S`, the new
-//! process serves now and the old one finishes its requests; `D`, a datagram of another proxy or of the other process.
-//! The end of the stream means the end of the process: the old process continues to accept, or the new one is alone. If
-//! any step fails, the new process starts independently beside the old one, see [`crate::front::listen`].
+//! The old process listens on a Unix socket in a shared directory. The new process sends `HELLO` and receives one
+//! header with the descriptors (SCM_RIGHTS, unix(7)). After that, frames go both ways until one process ends: `S`, the
+//! new process serves now and the old one finishes its requests; `D`, a datagram of another proxy or of the other
+//! process. The end of the stream means the end of the process: the old process continues to accept, or the new one is
+//! alone. If any step fails, the new process starts independently beside the old one, see [`crate::front::listen`].
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -150,7 +150,7 @@
     async fn replace_older(&self, mut stream: HandoverStream) {
         self.front.set_budget(self.budget / 2);
         let read = stream.clone();
-        let relay = self.peers.as_ref().map(|p| p.relay());
+        let relay = self.peers.as_ref().map(|p| p.start_relay());
         let sender = async {
             self.serving.ready().await;
             self.set_reading(true);
@@ -204,7 +204,7 @@
         note!("upgrade: a newer process has come");
         self.front.set_budget(self.budget / 2);
         let read = stream.clone();
-        let relay = self.peers.as_ref().map(|p| p.relay());
+        let relay = self.peers.as_ref().map(|p| p.start_relay());
         let serves = || {
             note!("upgrade: the newer process serves");
             self.set_reading(false);
@@ -233,14 +233,14 @@
 
     fn set_reading(&self, reads: bool) {
         if let Some(peers) = &self.peers {
-            peers.read(reads);
+            peers.set_reading(reads);
         }
     }
 
     /// Resumes sole use of the sockets and the budget after the other process has ended.
     fn resume_alone(&self) {
         if let Some(peers) = &self.peers {
-            peers.unrelay();
+            peers.stop_relay();
         }
         self.set_reading(true);
         self.front.set_budget(self.budget);
--- a/crates/sandgap/src/main.rs
+++ b/crates/sandgap/src/main.rs
@@ -135,14 +135,14 @@
 
 fn list_keys() {
     for table in TABLES {
-        let (open, close) = if table.most > 0 { ("[[", "]]") } else { ("[", "]") };
+        let (open, close) = if table.max_entries > 0 { ("[[", "]]") } else { ("[", "]") };
         println!("{open}{}{close}  # {}", table.name, table.about);
         for key in table.keys {
             let kind = match key.kind {
                 Kind::Text => "text".to_owned(),
                 Kind::Address => "address:port".to_owned(),
-                Kind::Number(least, most) => format!("{least} to {most}"),
-                Kind::Whole(least, most) => format!("whole, {least} to {most}"),
+                Kind::Number(min, max) => format!("{min} to {max}"),
+                Kind::Whole(min, max) => format!("whole, {min} to {max}"),
                 Kind::Word(words) => words.join(" | "),
             };
             let default = match key.default {
--- a/crates/sandgap/src/peers.rs
+++ b/crates/sandgap/src/peers.rs
@@ -39,8 +39,8 @@
 }
 
 impl Peers {
-    /// Uses a socket from [`bind`], or one handed over by an older process. `reads` tells whether this process reads it;
-    /// an older process does so until this one serves.
+    /// Uses a socket from [`bind`], or one handed over by an older process. `reads` tells whether this process reads
+    /// it; an older process does so until this one serves.
     ///
     /// # Errors
     /// The system's error if the socket can't be used.
@@ -59,20 +59,20 @@
     }
 
     /// Sets whether this process reads the socket.
-    pub fn read(&self, reads: bool) {
+    pub fn set_reading(&self, reads: bool) {
         self.reads.set(reads);
         self.changed.notify_one();
     }
 
-    /// Relays all received and sent datagrams to the other process of an upgrade, until [`Peers::unrelay`].
-    pub fn relay(&self) -> mpsc::Receiver<Datagram> {
+    /// Relays all received and sent datagrams to the other process of an upgrade, until [`Peers::stop_relay`].
+    pub fn start_relay(&self) -> mpsc::Receiver<Datagram> {
         let (sender, receiver) = mpsc::channel(RELAY_QUEUE);
         self.relay.replace(Some(sender));
         receiver
     }
 
-    /// Stops the relay that [`Peers::relay`] started.
-    pub fn unrelay(&self) {
+    /// Stops the relay that [`Peers::start_relay`] started.
+    pub fn stop_relay(&self) {
         self.relay.replace(None);
     }
 
@@ -85,7 +85,9 @@
     /// Sends a message to every other proxy. What the socket can't accept at once is lost, as on the network.
     pub fn tell(&self, bytes: &[u8]) {
         if bytes.len() > MAX_MESSAGE_BYTES {
-            return note!(warn: "peers: a message of {} bytes is not sent; the limit is {MAX_MESSAGE_BYTES} bytes", bytes.len());
+            return note!(warn:
+                "peers: a message of {} bytes is not sent; the limit is {MAX_MESSAGE_BYTES} bytes", bytes.len()
+            );
         }
         self.relay_datagram(self.me, bytes);
         if let Err(e) = self.socket.try_send_to(bytes, self.all) {
@@ -94,7 +96,7 @@
     }
 
     /// Receives datagrams of the other proxies; one from an unknown address or over the size limit is dropped.
-    pub async fn listen(self: Rc<Self>, inbox: Inbox) {
+    pub async fn receive(self: Rc<Self>, inbox: Inbox) {
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
             let received = tokio::select! {
--- a/crates/sandgap/src/rules/book.rs
+++ b/crates/sandgap/src/rules/book.rs
@@ -84,7 +84,7 @@
         let all = pairs.iter().filter_map(|(k, v)| Some(((*k).to_owned(), v.clone()?)));
         Value::Table(all.collect())
     };
-    let whole = |n: u64| i64::try_from(n).map_or(Value::Integer(i64::MAX), Value::Integer);
+    let integer = |n: u64| i64::try_from(n).map_or(Value::Integer(i64::MAX), Value::Integer);
     let text = |t: &Option<String>| t.clone().map(Value::String);
     let class = |c: &Class| {
         let (effect, group, window) = match c.effect {
@@ -120,7 +120,7 @@
             ("address", Some(b.address.to_string().into())),
             ("zone", text(&b.zone)),
             ("kind", text(&b.kind)),
-            ("cell", b.cell.map(whole)),
+            ("cell", b.cell.map(integer)),
             ("share", Some(b.share.into())),
             ("state", Some(if b.draining { "draining" } else { "up" }.into())),
         ])
@@ -135,7 +135,7 @@
     list("backend", book.backends.iter().flatten().map(backend).collect());
     let l = &book.limits;
     let limits = [
-        ("max_attempts", Some(whole(l.max_attempts.into()))),
+        ("max_attempts", Some(integer(l.max_attempts.into()))),
         ("over_share_worth", Some(l.over_share_worth.into())),
     ];
     let cold = [
@@ -258,7 +258,7 @@
 
     #[test]
     fn a_book_written_and_parsed_is_the_same_book() {
-        let book = from_config(&config()).expect("whole");
+        let book = from_config(&config()).expect("valid");
         assert_eq!(check(&book, false), Ok(()));
         let again = settings::parse(&format!("[proxy]\nlisten = \"127.0.0.1:1\"\n{}", to_toml(&book)));
         assert_eq!(from_config(&again.unwrap_or_else(|p| panic!("{p:?}"))), Ok(book));
@@ -267,7 +267,7 @@
     #[test]
     fn settings_of_a_book_equal_those_of_its_file() {
         let config = config();
-        let (settings, names) = settings(&from_config(&config).expect("whole"), &config.settings);
+        let (settings, names) = settings(&from_config(&config).expect("valid"), &config.settings);
         let by_name = |names: &Names, s: &Settings| {
             names
                 .classes
@@ -285,7 +285,7 @@
 
     #[test]
     fn a_book_that_check_would_reject_is_rejected_with_the_same_message() {
-        let good = from_config(&config()).expect("whole");
+        let good = from_config(&config()).expect("valid");
         let mut bad = good.clone();
         bad.classes[0].name = "up".into();
         assert!(check(&bad, false).expect_err("no class").contains("can't be the first part of a path"));
@@ -299,7 +299,7 @@
 
     #[test]
     fn a_manually_drained_backend_is_listed_as_draining() {
-        let mut book = from_config(&config()).expect("whole");
+        let mut book = from_config(&config()).expect("valid");
         book.drained.insert("b".into());
         assert_eq!(hosts(&book).expect("listed")[0].health, "draining");
         assert_eq!(check(&book, false), Ok(()));
--- a/crates/sandgap/src/rules/commands.rs
+++ b/crates/sandgap/src/rules/commands.rs
@@ -259,7 +259,7 @@
 
 fn voter_store_path(fleet: &Fleet) -> Result<&Path> {
     let wanted = "this proxy is not a voter with a store: name it in a [[voter]], and set [fleet] store";
-    fleet.store.as_deref().filter(|_| fleet.votes()).ok_or_else(|| CallError::Invalid(wanted.into()))
+    fleet.store.as_deref().filter(|_| fleet.is_voter()).ok_or_else(|| CallError::Invalid(wanted.into()))
 }
 
 fn create_store(fleet: &Fleet) -> Result<()> {
@@ -286,16 +286,16 @@
         }
     };
     if !sure {
-        let word = format!("only {} is left", fleet.name);
+        let confirmation = format!("only {} is left", fleet.name);
         println!(
-            "Everything that the other voters agreed on and this one has not received is lost. If one of them ever returns\n\
-             with its disk, there are two fleets, and their proxies may contradict each other for an unlimited time.\n\
-             Stop all other voters and move their stores away first. To continue, type: {word}"
+            "Everything that the other voters agreed on and this one has not received is lost. If one of them ever\n\
+             returns with its disk, there are two fleets, and their proxies may contradict each other for an unlimited\n\
+             time. Stop all other voters and move their stores away first. To continue, type: {confirmation}"
         );
         let _ = std::io::stdout().flush();
         let mut line = String::new();
         let _ = std::io::stdin().lock().read_line(&mut line);
-        if line.trim() != word {
+        if line.trim() != confirmation {
             return Err(CallError::Rejected("nothing was changed".into()));
         }
     }
@@ -364,18 +364,18 @@
 
     /// Asks the voters in turn, `first` before the others, until `take` accepts an answer.
     pub(super) async fn ask<T>(
-        &mut self, first: Option<&str>, word: Word, mut take: impl FnMut(Word) -> Option<T>,
+        &mut self, first: Option<&str>, message: Word, mut take: impl FnMut(Word) -> Option<T>,
     ) -> Result<T> {
         let mut voters = self.fleet.voters.clone();
         voters.sort_by_key(|(name, _)| Some(name.as_str()) != first);
         while Instant::now() < self.end {
             for (name, address) in &voters {
-                let address = self.fleet.ways.get(name).copied().unwrap_or(*address);
-                self.links.send(name, Some(address), RULES_CHANNEL, word.encode());
+                let address = self.fleet.dial_addresses.get(name).copied().unwrap_or(*address);
+                self.links.send(name, Some(address), RULES_CHANNEL, message.encode());
                 let until = Instant::now() + ANSWER_TIMEOUT;
                 while let Some(left) = until.checked_duration_since(Instant::now()) {
-                    let Ok(Some(heard)) = timeout(left, self.incoming.recv()).await else { break };
-                    if let Some(taken) = Word::decode(&heard.body).and_then(&mut take) {
+                    let Ok(Some(incoming)) = timeout(left, self.incoming.recv()).await else { break };
+                    if let Some(taken) = Word::decode(&incoming.body).and_then(&mut take) {
                         return Ok(taken);
                     }
                 }
@@ -392,7 +392,7 @@
 
     async fn any_status(&mut self, first: Option<&str>) -> Result<Status> {
         let number = self.next_number();
-        let take = move |word| match word {
+        let take = move |message| match message {
             Word::Status(n, status) if n == number => Some(status),
             _ => None,
         };
@@ -439,7 +439,7 @@
                 "version {version} is not kept; see 'sandgap fleet history'"
             )));
         }
-        let take = move |word| match word {
+        let take = move |message| match message {
             Word::Book(v, bytes) if v == version => Some(bytes),
             _ => None,
         };
@@ -496,12 +496,12 @@
         let leader = self.leader().await?;
         let parent = parent.unwrap_or(leader.standing.version);
         let id = self.next_number();
-        let word = Word::Publish(Proposal { id, parent, book, by: caller_name(), why });
-        let take = move |word| match word {
+        let message = Word::Publish(Proposal { id, parent, book, by: caller_name(), why });
+        let take = move |message| match message {
             Word::Published(n, verdict) if n == id => Some(verdict),
             _ => None,
         };
-        let version = match self.ask(Some(&leader.voter), word, take).await? {
+        let version = match self.ask(Some(&leader.voter), message, take).await? {
             Verdict::PutForward(version) | Verdict::Again(version) => version,
             Verdict::Lost { standing } => {
                 let text =
@@ -528,8 +528,8 @@
                     return Ok(());
                 }
                 Some(Fate::Abandoned(why)) => {
-                    let told: Vec<String> = why.iter().map(|(who, why)| format!("{who}: {why}")).collect();
-                    let text = format!("version {version} was not switched to:\n  {}", told.join("\n  "));
+                    let reasons: Vec<String> = why.iter().map(|(who, why)| format!("{who}: {why}")).collect();
+                    let text = format!("version {version} was not switched to:\n  {}", reasons.join("\n  "));
                     return Err(CallError::Rejected(text));
                 }
                 Some(Fate::Pending) | None => sleep(POLL_INTERVAL).await,
@@ -683,7 +683,7 @@
                 return Ok(());
             }
             let number = self.next_number();
-            let take = move |word| match word {
+            let take = move |message| match message {
                 Word::Seated(n, why) if n == number => Some(why),
                 _ => None,
             };
--- a/crates/sandgap/src/rules/kept_version.rs
+++ b/crates/sandgap/src/rules/kept_version.rs
@@ -78,8 +78,8 @@
     }
 }
 
-/// Replaces a file's contents by an atomic rename. Each attempt writes the whole file again, because its contents after a
-/// failed sync are undefined (fsync(2)).
+/// Replaces a file's contents by an atomic rename. Each attempt writes the whole file again, because its contents after
+/// a failed sync are undefined (fsync(2)).
 fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut new = path.as_os_str().to_owned();
     new.push(".new"); // appended, because files in the same directory may differ only in their extension
--- a/crates/sandgap/src/rules/mod.rs
+++ b/crates/sandgap/src/rules/mod.rs
@@ -1,7 +1,7 @@
 //! Agreed rules in the daemon: whether a request may be admitted now, and under which version. [`runtime`] drives the
-//! agent on sockets and the disk, [`book`] converts settings to rulebooks and back, [`commands`] has the `sandgap fleet`
-//! commands, of which `outs` and `releases` hold those about permits and releases, and `watch` reports to leaders for
-//! permits.
+//! agent on sockets and the disk, [`book`] converts settings to rulebooks and back, [`commands`] has the `sandgap
+//! fleet` commands, of which `outs` and `releases` hold those about permits and releases, and `watch` reports to
+//! leaders for permits.
 //!
 //! All of this is off unless `[fleet] listen` is set: the front then has no rules and no task runs.
 
@@ -64,19 +64,19 @@
     /// Classes that are served without a lease, by the latest known rules.
     serve_without_lease: RefCell<FxHashSet<String>>,
     /// The version kept from before the start, used until one is agreed.
-    kept: Cell<Version>,
+    kept_version: Cell<Version>,
 }
 
 impl Rules {
     /// Rules of an agent without any version yet.
     pub fn new(agent: Agent, bound: Duration, header: Option<HeaderName>) -> Rc<Self> {
-        let (serve_without_lease, kept) = Default::default();
+        let (serve_without_lease, kept_version) = Default::default();
         Rc::new(Rules {
             agent: RefCell::new(Rc::new(RefCell::new(agent))),
             bound,
             header,
             serve_without_lease,
-            kept,
+            kept_version,
         })
     }
 
@@ -114,7 +114,7 @@
     /// The last version in force at this proxy.
     fn last_version(&self) -> Version {
         match self.agent().borrow().follower().acting() {
-            0 => self.kept.get(),
+            0 => self.kept_version.get(),
             version => version,
         }
     }
--- a/crates/sandgap/src/rules/outs.rs
+++ b/crates/sandgap/src/rules/outs.rs
@@ -41,8 +41,8 @@
 /// Options of `budget`: how many targets may be out at once.
 #[derive(Args)]
 pub struct BudgetArguments {
-    /// Replaces all bounds, each as SIDE:PER:MOST. SIDE is backend or proxy; PER is fleet, zone, cell or kind; MOST is a
-    /// count, a percentage (10%), need:25% or need:25%:zone-lost.
+    /// Replaces all bounds, each as SIDE:PER:MOST. SIDE is backend or proxy; PER is fleet, zone, cell or kind; MOST is
+    /// a count, a percentage (10%), need:25% or need:25%:zone-lost.
     #[arg(long = "set", value_name = "BOUND")]
     bounds: Vec<Bound>,
     /// Removes all bounds.
@@ -58,7 +58,9 @@
 }
 
 fn parse_wish(wish: &str) -> Result<u64> {
-    let wrong = || format!("'{wish}' is not a wish number (hexadecimal): 'sandgap fleet outs' lists them");
+    let wrong = || {
+        format!("'{wish}' is not the number of a wish, which is hexadecimal: 'sandgap fleet outs' lists them")
+    };
     u64::from_str_radix(wish, 16).map_err(|_| CallError::Invalid(wrong()))
 }
 
@@ -67,7 +69,7 @@
     pub(super) async fn submit(&mut self, entry: &Entry) -> Result<Verdict> {
         let leader = self.leader().await?;
         let number = self.next_number();
-        let take = move |word| match word {
+        let take = move |message| match message {
             Word::Came(n, bytes) if n == number => carry::verdict(&bytes).map(Ok),
             Word::Unput(n, why) if n == number => Some(Err(why)),
             _ => None,
@@ -86,7 +88,7 @@
         loop {
             let leader = self.leader().await?;
             let number = self.next_number();
-            let take = move |word| match word {
+            let take = move |message| match message {
                 Word::Seen(n, leads, bytes) if n == number => Some(carry::status(&bytes).filter(|_| leads)),
                 Word::Unput(n, _) if n == number => Some(None),
                 _ => None,
--- a/crates/sandgap/src/rules/releases.rs
+++ b/crates/sandgap/src/rules/releases.rs
@@ -41,8 +41,8 @@
     },
     /// Lists releases, with what each target runs and waits for.
     Status,
-    /// Lists targets that are out for a release and empty, with their permit and the version to install, one per line for
-    /// the tool that updates them.
+    /// Lists targets that are out for a release and empty, with their permit and the version to install, one per line
+    /// for the tool that updates them.
     Work {
         /// The release's name.
         name: String,
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -103,7 +103,7 @@
         let listener = listener.map_err(|e| format!("{what}: {e}"))?;
         let agent = Rc::new(RefCell::new(agent(&fleet)));
         let mut runtime = Self::new(parts, fleet, agent);
-        if let Some(path) = runtime.fleet.store.clone().filter(|_| runtime.fleet.votes()) {
+        if let Some(path) = runtime.fleet.store.clone().filter(|_| runtime.fleet.is_voter()) {
             runtime.open_voter_store(&path)?;
         }
         spawn_local(runtime.links.clone().serve(listener));
@@ -126,8 +126,8 @@
         let (name, zone) = (fleet.name.clone(), fleet.zone.clone());
         let me = Identity { name, address: fleet.listen, incarnation, zone };
         let members = Members::new(me, Pace::default(), random_u64());
-        let kept_version = fleet.keep.clone().map(KeptVersion::new);
-        let watch = Watch::new(parts.clone(), agent.clone(), fleet.votes(), fleet.zone.clone());
+        let kept_version = fleet.kept_version_path.clone().map(KeptVersion::new);
+        let watch = Watch::new(parts.clone(), agent.clone(), fleet.is_voter(), fleet.zone.clone());
         Runtime { parts, agent, fleet, members, links, incoming, disk: None, kept_version, watch }
     }
 
@@ -164,7 +164,7 @@
 
     /// Loads the version kept from before the start, which serves the classes that need no lease.
     fn load_kept_version(&mut self) {
-        let Some(path) = &self.fleet.keep else { return };
+        let Some(path) = &self.fleet.kept_version_path else { return };
         let Ok(bytes) = std::fs::read(path) else { return };
         let kept = bytes.split_first_chunk::<8>();
         let kept = kept.map(|(version, book)| (u64::from_le_bytes(*version), Rulebook::decode(book)));
@@ -173,7 +173,7 @@
                 Ok(()) => {
                     note!("rules: version {version} was kept; classes that serve without a lease go by it");
                     self.parts.rules.record_unleased_classes(&book);
-                    self.parts.rules.kept.set(version);
+                    self.parts.rules.kept_version.set(version);
                 }
                 Err(e) => note!(warn: "rules: the kept version {version} can't be used: {e}"),
             },
@@ -208,7 +208,7 @@
                         self.handle_message(more);
                     }
                 }
-                news = next_disk_event(&mut self.disk) => self.handle_disk_event(news),
+                event = next_disk_event(&mut self.disk) => self.handle_disk_event(event),
                 () = sleep(wait) => {}
             }
             self.run_timers();
@@ -237,8 +237,8 @@
                 self.send_gossip(gossip);
             }
             RULES_CHANNEL => {
-                if let Some(word) = Word::decode(&body) {
-                    self.agent.borrow_mut().hear(now(), &from, word);
+                if let Some(message) = Word::decode(&body) {
+                    self.agent.borrow_mut().hear(now(), &from, message);
                     self.process_outputs();
                 }
             }
@@ -246,8 +246,8 @@
         }
     }
 
-    fn handle_disk_event(&mut self, news: DiskEvent) {
-        match news {
+    fn handle_disk_event(&mut self, event: DiskEvent) {
+        match event {
             DiskEvent::Written(number) => self.agent.borrow_mut().written(now(), number),
             DiskEvent::Failed(why) => self.agent.borrow_mut().disk_failed(&why),
             DiskEvent::Back(saved) => match self.start_voting(&saved) {
@@ -274,8 +274,8 @@
     }
 
     /// The address to dial a proxy: the configured one, otherwise the advertised one.
-    fn dial_address(&self, name: &str, told: Option<SocketAddr>) -> Option<SocketAddr> {
-        self.fleet.ways.get(name).copied().or(told)
+    fn dial_address(&self, name: &str, advertised: Option<SocketAddr>) -> Option<SocketAddr> {
+        self.fleet.dial_addresses.get(name).copied().or(advertised)
     }
 
     fn process_outputs(&mut self) {
@@ -283,9 +283,9 @@
             let output = self.agent.borrow_mut().poll();
             let Some(output) = output else { return };
             match output {
-                Output::Say(to, address, word) => {
+                Output::Say(to, address, message) => {
                     let known = address.or_else(|| self.members.find(&to).map(|m| m.address));
-                    self.links.send(&to, self.dial_address(&to, known), RULES_CHANNEL, word.encode());
+                    self.links.send(&to, self.dial_address(&to, known), RULES_CHANNEL, message.encode());
                 }
                 Output::Write(write) => self.write(write),
                 Output::Check(version, rules) => {
@@ -296,7 +296,7 @@
                     self.agent.borrow_mut().checked(now(), version, usable);
                 }
                 Output::Act(version, rules) => self.activate(version, &rules),
-                Output::Told(told) => self.watch.apply_orders(&told),
+                Output::Told(orders) => self.watch.apply_orders(&orders),
                 Output::Turn(_) => {} // the daemon does not use lives yet
                 Output::Note(text) => note!("{text}"),
             }
@@ -310,7 +310,8 @@
     }
 
     fn activate(&mut self, version: Version, rules: &Rulebook) {
-        // The version was checked just before. If requests hold too many classes by now, no version is put in force here.
+        // The version was checked just before. If requests hold too many classes by now, no version is put in force
+        // here.
         match self.put_in_force(rules) {
             Ok(()) => {
                 self.parts.rules.record_unleased_classes(rules);
--- a/crates/sandgap/src/rules/voter_disk.rs
+++ b/crates/sandgap/src/rules/voter_disk.rs
@@ -37,7 +37,8 @@
     path: PathBuf,
     /// None while the disk has failed.
     writer: Option<StoreWriter>,
-    /// Messages of the current writer, or of the thread that reopens the store. Messages of earlier threads are discarded.
+    /// Messages of the current writer, or of the thread that reopens the store. Messages of earlier threads are
+    /// discarded.
     messages: mpsc::UnboundedReceiver<DiskMessage>,
 }
 
--- a/crates/sandgap/src/rules/watch.rs
+++ b/crates/sandgap/src/rules/watch.rs
@@ -32,7 +32,7 @@
 pub struct Watch {
     parts: Parts,
     agent: SharedAgent,
-    votes: bool,
+    is_voter: bool,
     zone: Option<String>,
     orders: RefCell<Orders>,
     /// Whether the reporting task runs.
@@ -42,8 +42,8 @@
     dialled: RefCell<Dialled>,
 }
 
-/// Results of dialling all backends: the address that was dialled, and the number of consecutive failures. `None` before
-/// the first round.
+/// Results of dialling all backends: the address that was dialled, and the number of consecutive failures. `None`
+/// before the first round.
 type Dialled = Option<BTreeMap<String, (SocketAddr, u32)>>;
 
 fn ended((all, failed): (u64, u64)) -> Ended {
@@ -52,17 +52,17 @@
 
 impl Watch {
     /// A watch without orders.
-    pub fn new(parts: Parts, agent: SharedAgent, votes: bool, zone: Option<String>) -> Rc<Self> {
+    pub fn new(parts: Parts, agent: SharedAgent, is_voter: bool, zone: Option<String>) -> Rc<Self> {
         let (orders, reporting, dialling, dialled) = Default::default();
-        Rc::new(Watch { parts, agent, votes, zone, orders, reporting, dialling, dialled })
+        Rc::new(Watch { parts, agent, is_voter, zone, orders, reporting, dialling, dialled })
     }
 
     /// Applies new orders; empty orders stop both tasks.
-    pub fn apply_orders(self: &Rc<Self>, told: &[(u8, Vec<u8>)]) {
-        let orders = told.iter().find(|(tag, _)| *tag == TAG).map(|(_, bytes)| Orders::decode(bytes));
+    pub fn apply_orders(self: &Rc<Self>, tagged: &[(u8, Vec<u8>)]) {
+        let orders = tagged.iter().find(|(tag, _)| *tag == TAG).map(|(_, bytes)| Orders::decode(bytes));
         let orders = orders.unwrap_or_default();
         self.parts.front.serving().order_out(orders.out);
-        let dials = orders.dial && self.votes;
+        let dials = orders.dial && self.is_voter;
         *self.orders.borrow_mut() = orders;
         if self.has_orders() && !self.reporting.replace(true) {
             spawn_local(self.clone().report());
@@ -91,7 +91,7 @@
         let orders = self.orders.borrow().clone();
         // The version in force now is already in the driver's inbox, ahead of the query.
         let version = self.agent.borrow().follower().acting();
-        let measured = match orders.measure && self.votes {
+        let measured = match orders.measure && self.is_voter {
             true => self.backends().into_iter().map(|(name, _)| name).collect(),
             false => Vec::new(),
         };
--- a/crates/sandgap/src/settings/check.rs
+++ b/crates/sandgap/src/settings/check.rs
@@ -55,24 +55,24 @@
         }
         for table in TABLES.iter().filter(|t| !file.keys().any(|k| k.get_ref() == t.name)) {
             let empty =
-                if table.most == 0 { self.check_table(table, None) } else { Value::Array(Vec::new()) };
+                if table.max_entries == 0 { self.check_table(table, None) } else { Value::Array(Vec::new()) };
             values.insert(table.name.into(), empty);
         }
     }
 
     fn check_entries(&mut self, table: &Table, value: &Spanned<DeValue>, values: &mut Values) {
         let at = value.span().start;
-        let filled = match (value.get_ref(), table.most) {
+        let filled = match (value.get_ref(), table.max_entries) {
             (DeValue::Table(one), 0) => self.check_table(table, Some((one, at))),
-            (DeValue::Array(many), most) if most > 0 => {
-                if many.len() > most {
+            (DeValue::Array(many), max_entries) if max_entries > 0 => {
+                if many.len() > max_entries {
                     self.add_at(
                         at,
-                        format!("{} [[{}]] are too many; the limit is {most}", many.len(), table.name),
+                        format!("{} [[{}]] are too many; the limit is {max_entries}", many.len(), table.name),
                     );
                 }
                 let mut all = Vec::new();
-                for entry in many.iter().take(most) {
+                for entry in many.iter().take(max_entries) {
                     match entry.get_ref() {
                         DeValue::Table(one) => {
                             all.push(self.check_table(table, Some((one, entry.span().start))))
@@ -141,10 +141,8 @@
             (Kind::Text, Some(t), _) if !t.trim().is_empty() => Some(Value::String(t.into())),
             (Kind::Address, Some(t), _) if t.parse::<SocketAddr>().is_ok() => Some(Value::String(t.into())),
             (Kind::Word(words), Some(t), _) if words.contains(&t) => Some(Value::String(t.into())),
-            (Kind::Number(least, most), _, Some((x, _))) if x >= least && x <= most => Some(Value::Float(x)),
-            (Kind::Whole(least, most), _, Some((_, Some(n)))) if n >= least && n <= most => {
-                Some(Value::Integer(n))
-            }
+            (Kind::Number(min, max), _, Some((x, _))) if x >= min && x <= max => Some(Value::Float(x)),
+            (Kind::Whole(min, max), _, Some((_, Some(n)))) if n >= min && n <= max => Some(Value::Integer(n)),
             _ => None,
         };
         if good.is_none() {
@@ -152,8 +150,8 @@
                 Kind::Text => "a text that is not empty".to_owned(),
                 Kind::Address => "an IP address and a port, such as \"127.0.0.1:9000\"".to_owned(),
                 Kind::Word(words) => format!("one of \"{}\"", words.join("\", \"")),
-                Kind::Number(least, most) => format!("a number from {least} to {most}"),
-                Kind::Whole(least, most) => format!("a whole number from {least} to {most}"),
+                Kind::Number(min, max) => format!("a number from {min} to {max}"),
+                Kind::Whole(min, max) => format!("a whole number from {min} to {max}"),
             };
             self.add_at(value.span().start, format!("'{}' must be {wanted} ({})", key.name, key.about));
         }
--- a/crates/sandgap/src/settings/fleet.rs
+++ b/crates/sandgap/src/settings/fleet.rs
@@ -60,9 +60,9 @@
         key,
         terms: Terms::new(span, file.fleet.order == "apart"),
         voters: file.voter.iter().map(|v| (v.name.clone(), v.address)).collect(),
-        ways: file.way.iter().map(|w| (w.to.clone(), w.address)).collect(),
+        dial_addresses: file.way.iter().map(|w| (w.to.clone(), w.address)).collect(),
         store: file.fleet.store.clone(),
-        keep: file.fleet.keep.clone(),
+        kept_version_path: file.fleet.keep.clone(),
         header,
     })
 }
--- a/crates/sandgap/src/settings/mod.rs
+++ b/crates/sandgap/src/settings/mod.rs
@@ -288,11 +288,11 @@
             None => Source::Fixed(file.backend.into_iter().map(host).collect()),
         },
         seed,
-        memory: file.proxy.memory_mb << 20,
+        memory_bytes: file.proxy.memory_mb << 20,
         sockets: file.proxy.sockets,
         grace: std::time::Duration::MAX, // the supervisor decides when to end the process
         peers: None,
-        known: Json::Null,
+        remembered_list: Json::Null,
         connections: Connections {
             dial_timeout: file.limits.dial_timeout_ms,
             idle_close: file.limits.idle_close_ms,
--- a/crates/sandgap/src/settings/schema.rs
+++ b/crates/sandgap/src/settings/schema.rs
@@ -52,7 +52,7 @@
     /// Its name.
     pub name: &'static str,
     /// Maximum number of entries of a `[[name]]`; 0 for a single `[name]`.
-    pub most: usize,
+    pub max_entries: usize,
     /// Its keys.
     pub keys: &'static [Key],
     /// Its purpose.
@@ -75,7 +75,7 @@
 pub const TABLES: &[Table] = &[
     Table {
         name: "proxy",
-        most: 0,
+        max_entries: 0,
         about: "this process",
         keys: &[
             key("name", Kind::Text, Default::Text("sandgap"), "its name, for the log"),
@@ -95,7 +95,7 @@
     },
     Table {
         name: "discovery",
-        most: 0,
+        max_entries: 0,
         about: "a service that lists the backends, in place of [[backend]]",
         keys: &[
             key("address", Kind::Address, Default::None, "its address"),
@@ -109,7 +109,7 @@
     },
     Table {
         name: "backend",
-        most: MAX_BACKENDS,
+        max_entries: MAX_BACKENDS,
         about: "a backend of a fixed list, in place of [discovery]; SIGHUP reads the list again",
         keys: &[
             key("name", Kind::Text, Default::Required, "its name, the same at every proxy"),
@@ -143,7 +143,7 @@
     },
     Table {
         name: "class",
-        most: 100,
+        max_entries: 100,
         about: "a class of requests; the first part of the path names it",
         keys: &[
             key("name", Kind::Text, Default::Required, "the first part of the path"),
@@ -188,7 +188,7 @@
     },
     Table {
         name: "tenant",
-        most: MAX_TENANTS,
+        max_entries: MAX_TENANTS,
         about: "a tenant; if there are any, X-Tenant-Id must name one",
         keys: &[
             key("name", Kind::Text, Default::Required, "its name in X-Tenant-Id"),
@@ -202,7 +202,7 @@
     },
     Table {
         name: "limits",
-        most: 0,
+        max_entries: 0,
         about: "bounds on attempts and connections",
         keys: &[
             key("max_attempts", Kind::Whole(1, 100), Default::Whole(3), "attempts for one request"),
@@ -228,7 +228,7 @@
     },
     Table {
         name: "cold",
-        most: 0,
+        max_entries: 0,
         about: "backends that have just started",
         keys: &[
             key(
@@ -259,7 +259,7 @@
     },
     Table {
         name: "fleet",
-        most: 0,
+        max_entries: 0,
         about: "proxies that agree on their rules; off without 'listen'",
         keys: &[
             key("listen", Kind::Address, Default::None, "address for other proxies"),
@@ -294,7 +294,7 @@
     },
     Table {
         name: "voter",
-        most: 9,
+        max_entries: 9,
         about: "a proxy of the fleet that votes; use three or five",
         keys: &[
             key("name", Kind::Text, Default::Required, "its [proxy] name"),
@@ -303,8 +303,8 @@
     },
     Table {
         name: "way",
-        most: MAX_PROXIES,
-        about: "another proxy of the fleet that is dialled at another address from here, such as a tunnel or NAT address",
+        max_entries: MAX_PROXIES,
+        about: "another proxy of the fleet that is dialled at another address from here, such as over a tunnel or NAT",
         keys: &[
             key("to", Kind::Text, Default::Required, "its [proxy] name"),
             key("address", Kind::Address, Default::Required, "the address to dial"),
@@ -312,7 +312,7 @@
     },
     Table {
         name: "metrics",
-        most: 0,
+        max_entries: 0,
         about: "metrics for a collector",
         keys: &[key(
             "file",
