--- a/crates/sandgap-rollout/src/bounds.rs
+++ b/crates/sandgap-rollout/src/bounds.rs
@@ -1,4 +1,4 @@
-//! How many may be out at once: nested bounds by scope, as a count, as a part, and by need.
+//! Limits on how many targets may be out at once: per scope, as a count, as a fraction, or by required capacity.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -8,43 +8,43 @@
 
 use crate::target::{Labels, Side, Target};
 
-/// Over what a bound counts.
+/// Scope over which a bound counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Per {
     /// The whole fleet.
     Fleet,
-    /// Each zone by itself.
+    /// Each zone separately.
     Zone,
-    /// Each cell by itself.
+    /// Each cell separately.
     Cell,
-    /// Each kind of machine by itself.
+    /// Each kind of machine separately.
     Kind,
 }
 
-/// How many may be out.
+/// Number of targets that may be out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Most {
-    /// So many.
+    /// An absolute number.
     Count(u32),
-    /// So many in a thousand of those that are known, rounded down.
+    /// Per mille of the known targets in the scope, rounded down.
     PerMille(u32),
-    /// What remains holds the load measured now, and so many thousandths of it more.
+    /// The remaining backends must have capacity for the currently measured load plus headroom.
     Need {
-        /// Beyond the load.
+        /// Capacity required beyond the load, in per mille of it.
         headroom: u32,
-        /// And does so without the zone that holds most.
+        /// The capacity must suffice without the zone that has the most of it.
         zone_lost: bool,
     },
 }
 
-/// One bound. All that are set hold together.
+/// One bound. All bounds that are set apply together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Bound {
-    /// Of which processes.
+    /// Kind of process that it limits.
     pub side: Side,
-    /// Over what it counts.
+    /// Scope over which it counts.
     pub per: Per,
-    /// How many.
+    /// Number that may be out.
     pub most: Most,
 }
 
@@ -75,10 +75,10 @@
     }
 }
 
-/// What is wrong with a bound as it was written.
+/// Error for text that is not a valid bound.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "'{0}' is no bound: write SIDE:PER:MOST, such as backend:zone:1, proxy:fleet:10% or backend:fleet:need:25%:zone-lost"
+    "'{0}' is not a valid bound: write SIDE:PER:MOST, such as backend:zone:1, proxy:fleet:10% or backend:fleet:need:25%:zone-lost"
 )]
 pub struct NoBound(String);
 
@@ -105,7 +105,7 @@
                 (0.0..=1000.0).contains(&part).then_some((part * 10.0).round() as u32)
             };
             let most = match parts.next()? {
-                // What all backends hold together is no matter of one scope.
+                // Total capacity is a property of the whole fleet, so no smaller scope is accepted.
                 "need" if side == Side::Backend && per == Per::Fleet => {
                     let headroom = per_mille(parts.next()?)?;
                     let zone_lost = match parts.next() {
@@ -124,61 +124,61 @@
     }
 }
 
-/// What was measured when a permit was to be granted; in the entry, so that every voter finds the same. Requests held
-/// at once, in thousandths: a load that is measured in the same unit as what a backend can hold.
+/// Measurements at the time of a grant. They are part of the entry, so that every voter decides alike. The unit is
+/// thousandths of a concurrent request, both for the load and for the capacity of backends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Requests that all proxies hold at backends.
+    /// Requests that all proxies have in flight at backends.
     pub load: u64,
-    /// What each backend is believed to hold, of all proxies.
+    /// Estimated capacity of each backend, over all proxies.
     pub holds: BTreeMap<String, u64>,
 }
 
-/// Why a bound stands against it.
+/// Reason why a bound does not allow a set of targets to go out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Against {
-    /// Too many would be out.
+    /// Too many targets would be out.
     #[error("{bound} may be out, and in {scope} {would} would be ({out}): wait until these are back")]
     Full {
-        /// Which bound.
+        /// The bound.
         bound: String,
-        /// Where.
+        /// The scope, such as a zone.
         scope: String,
-        /// How many would be.
+        /// Number that would be out.
         would: usize,
-        /// Who is out already.
+        /// Targets that are out already.
         out: String,
     },
-    /// The set alone is larger than the bound.
+    /// The requested set alone exceeds the bound.
     #[error("{bound} may be out, and in {scope} this takes {asked} at once: ask for fewer at once")]
     Never {
-        /// Which bound.
+        /// The bound.
         bound: String,
-        /// Where.
+        /// The scope, such as a zone.
         scope: String,
-        /// How many this takes.
+        /// Number of requested targets in the scope.
         asked: usize,
     },
-    /// What remains would not hold the load.
+    /// The remaining capacity would not suffice for the load.
     #[error(
         "what remains would hold {holds} requests at once, and {needs} are needed: wait for less load, or for backends that are out"
     )]
     Need {
-        /// What remains, in requests.
+        /// Remaining capacity, in concurrent requests.
         holds: u64,
-        /// What it has to hold.
+        /// Required capacity, in concurrent requests.
         needs: u64,
     },
-    /// Nothing was measured.
+    /// No capacity has been measured.
     #[error("nobody has measured what backends hold: wait until a voter has reported")]
     Unmeasured,
 }
 
-/// Those that are out of a side, and all that are known, with labels.
+/// The known targets with their labels, and those that are out.
 pub struct Fleet<'a> {
-    /// All that are known.
+    /// All known targets.
     pub known: &'a BTreeMap<Target, Labels>,
-    /// Out by intent or by accident.
+    /// Targets that are out under a permit or lost.
     pub out: &'a BTreeSet<Target>,
 }
 
@@ -192,32 +192,33 @@
 }
 
 impl Fleet<'_> {
-    /// Whether a set may go out as well. One of it that is lost already takes no second place, but neither does it get
-    /// one past the bound: it may come back by itself, and would be out by intent then.
+    /// Checks whether a set may go out in addition to the targets that are out. A target of the set that is lost already
+    /// is not counted twice. It still has to fit the bound, because it may recover by itself and would then be out under
+    /// the permit.
     ///
     /// # Errors
-    /// The first bound that stands against it.
+    /// The first bound that does not allow it.
     pub fn may_go(
         &self, set: &BTreeSet<Target>, bounds: &[Bound], evidence: Option<&Evidence>,
     ) -> Result<(), Against> {
         for bound in bounds.iter().filter(|b| set.iter().any(|t| t.side == b.side)) {
             match bound.most {
                 Most::Need { headroom, zone_lost } => {
-                    self.need(set, evidence.ok_or(Against::Unmeasured)?, headroom, zone_lost)?;
+                    self.check_capacity(set, evidence.ok_or(Against::Unmeasured)?, headroom, zone_lost)?;
                 }
-                Most::Count(_) | Most::PerMille(_) => self.count(set, bound)?,
+                Most::Count(_) | Most::PerMille(_) => self.check_count(set, bound)?,
             }
         }
         Ok(())
     }
 
-    fn count(&self, set: &BTreeSet<Target>, bound: &Bound) -> Result<(), Against> {
-        let none = Labels::default();
-        let labels = |t: &Target| self.known.get(t).unwrap_or(&none);
+    fn check_count(&self, set: &BTreeSet<Target>, bound: &Bound) -> Result<(), Against> {
+        let no_labels = Labels::default();
+        let labels = |t: &Target| self.known.get(t).unwrap_or(&no_labels);
         let scopes: BTreeSet<String> =
             set.iter().filter(|t| t.side == bound.side).map(|t| scope(bound.per, labels(t))).collect();
-        for place in scopes {
-            let here = |t: &&Target| t.side == bound.side && scope(bound.per, labels(t)) == place;
+        for scope_name in scopes {
+            let here = |t: &&Target| t.side == bound.side && scope(bound.per, labels(t)) == scope_name;
             let all = self.known.keys().filter(here).count();
             let most = match bound.most {
                 Most::Count(n) => n as usize,
@@ -227,26 +228,26 @@
             let asked = set.iter().filter(here).count();
             let out: Vec<&Target> = self.out.iter().filter(here).filter(|t| !set.contains(t)).collect();
             if asked > most {
-                return Err(Against::Never { bound: bound.to_string(), scope: place, asked });
+                return Err(Against::Never { bound: bound.to_string(), scope: scope_name, asked });
             }
             let would = asked + out.len();
             if would > most {
                 let names: Vec<String> = out.iter().take(5).map(ToString::to_string).collect();
                 let more = if out.len() > 5 { ", ..." } else { "" };
                 let out = format!("out: {}{more}", names.join(", "));
-                return Err(Against::Full { bound: bound.to_string(), scope: place, would, out });
+                return Err(Against::Full { bound: bound.to_string(), scope: scope_name, would, out });
             }
         }
         Ok(())
     }
 
-    /// Whether backends that stay hold the load.
-    fn need(
+    /// Checks that the remaining backends have the capacity for the load.
+    fn check_capacity(
         &self, set: &BTreeSet<Target>, evidence: &Evidence, headroom: u32, zone_lost: bool,
     ) -> Result<(), Against> {
-        let stays = |t: &&Target| t.side == Side::Backend && !self.out.contains(*t) && !set.contains(*t);
+        let remains = |t: &&Target| t.side == Side::Backend && !self.out.contains(*t) && !set.contains(*t);
         let mut by_zone: BTreeMap<Option<&String>, u64> = BTreeMap::new();
-        for target in self.known.keys().filter(stays) {
+        for target in self.known.keys().filter(remains) {
             let zone = self.known.get(target).and_then(|l| l.zone.as_ref());
             *by_zone.entry(zone).or_default() += evidence.holds.get(&target.name).copied().unwrap_or(0);
         }
@@ -281,19 +282,19 @@
     }
 
     #[test]
-    fn counts_and_parts_hold_in_each_scope_by_itself() {
+    fn counts_and_fractions_apply_to_each_scope_separately() {
         let (known, out) = (fleet(4), set(&[0]));
         let fleet = Fleet { known: &known, out: &out };
         let zone = [bound(Per::Zone, Most::Count(1))];
         assert!(fleet.may_go(&set(&[1]), &zone, None).is_ok(), "another zone");
         let full = fleet.may_go(&set(&[3]), &zone, None).expect_err("the same zone");
         assert!(full.to_string().contains("in zone a 2 would be (out: b0)"), "{full}");
-        assert!(fleet.may_go(&set(&[0]), &zone, None).is_ok(), "it is out already: nothing more goes");
+        assert!(fleet.may_go(&set(&[0]), &zone, None).is_ok(), "it is out already, so the count stays the same");
         let (two, none) = (set(&[0, 3]), [bound(Per::Zone, Most::Count(1))]);
-        let past = Fleet { known: &known, out: &two };
+        let over_bound = Fleet { known: &known, out: &two };
         assert!(
-            past.may_go(&set(&[0]), &none, None).is_err(),
-            "more are lost than may be: none of them by intent"
+            over_bound.may_go(&set(&[0]), &none, None).is_err(),
+            "more are lost than the bound allows, so none may go out under a permit"
         );
         let never = fleet.may_go(&set(&[1, 4]), &zone, None).expect_err("two of one zone");
         assert!(matches!(never, Against::Never { asked: 2, .. }));
@@ -307,7 +308,7 @@
     }
 
     #[test]
-    fn bounds_are_read_as_they_are_written_and_nothing_else_is() {
+    fn valid_bounds_are_parsed_and_invalid_ones_rejected() {
         let read = |text: &str| text.parse::<Bound>().map(|b| b.most);
         assert_eq!(read("backend:zone:1"), Ok(Most::Count(1)));
         assert_eq!(read("proxy:fleet:2.5%"), Ok(Most::PerMille(25)));
@@ -331,7 +332,7 @@
     }
 
     #[test]
-    fn bounds_of_one_side_say_nothing_of_the_other() {
+    fn bounds_of_one_side_do_not_limit_the_other() {
         let (known, out) = (fleet(2), BTreeSet::new());
         let fleet = Fleet { known: &known, out: &out };
         let none = [bound(Per::Fleet, Most::Count(0))];
@@ -340,16 +341,16 @@
     }
 
     #[test]
-    fn what_remains_has_to_hold_the_load_also_with_a_zone_lost() {
+    fn remaining_capacity_must_cover_the_load_also_with_a_zone_lost() {
         let (known, out) = (fleet(2), set(&[5]));
         let fleet = Fleet { known: &known, out: &out };
         let holds: BTreeMap<String, u64> = (0..6).map(|n| (format!("b{n}"), 10_000)).collect();
         let evidence = |load| Evidence { load, holds: holds.clone() };
         let need = |zone_lost| [bound(Per::Fleet, Most::Need { headroom: 250, zone_lost })];
-        // Five are in; one more out leaves four that hold 40.
+        // Five are in service; taking one more out leaves four with a capacity of 40.
         assert!(fleet.may_go(&set(&[0]), &need(false), Some(&evidence(32_000))).is_ok());
         assert!(fleet.may_go(&set(&[0]), &need(false), Some(&evidence(32_001))).is_err());
-        // Of these the largest zone holds 20.
+        // The largest zone has 20 of these.
         assert!(fleet.may_go(&set(&[0]), &need(true), Some(&evidence(16_000))).is_ok());
         assert!(fleet.may_go(&set(&[0]), &need(true), Some(&evidence(16_100))).is_err());
         assert_eq!(fleet.may_go(&set(&[0]), &need(false), None), Err(Against::Unmeasured));
--- a/crates/sandgap-rollout/src/ledger.rs
+++ b/crates/sandgap-rollout/src/ledger.rs
@@ -1,11 +1,11 @@
-//! What the log builds: bounds, what is known of each target, and permits.
+//! The replicated state machine: bounds, the known state of each target, permits and releases.
 //!
-//! *Out* is whoever is under a granted permit, from its grant until it has been seen back, and whoever is lost. The
-//! ledger keeps one promise in every state: no grant takes the number that is out in any scope past its bound. It
-//! decides on grants itself, at their place in the log; what a leader thinks of them is a proposal.
+//! A target is *out* from the grant of a permit for it until it has been observed back in service, or while it is
+//! lost. Invariant in every state: no grant raises the number of targets that are out in any scope above its bound.
+//! The ledger decides on grants itself, when their entry is applied; a leader only proposes them.
 //!
-//! Nothing is given back by time. A holder that dies keeps its targets out until somebody says that they are back and
-//! proxies have seen them well.
+//! Permits do not expire. If a holder dies, its targets stay out until an operator reports them returned and proxies
+//! have observed them healthy.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -19,369 +19,370 @@
 use crate::release::{Plan, Release, Stage};
 use crate::target::{Labels, Side, Target};
 
-/// Grows with each grant: whoever acts under a lower number for a target acts for a permit that has ended.
+/// Fencing token, incremented with each grant. A lower fence for a target belongs to a permit that has ended.
 pub type Fence = u64;
 
-/// A wish to take targets out, all or none.
+/// A request to take a set of targets out, all of them or none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Asking {
-    /// Drawn by whoever asks: the same wish that arrives twice counts once.
+    /// Request id chosen by the client; a duplicate with the same id has no further effect.
     pub id: u64,
-    /// Who asks.
+    /// Name of the requester.
     pub holder: String,
-    /// Why.
+    /// Reason given by the requester.
     pub why: String,
-    /// Higher goes first, but see [`OVERTAKEN`].
+    /// Higher priorities are granted first, up to the limit [`OVERTAKEN`].
     pub priority: u8,
-    /// Which.
+    /// Targets to take out.
     pub targets: BTreeSet<Target>,
-    /// Waits for targets that another permit holds, instead of being refused.
+    /// Waits for targets held by another permit instead of being refused.
     pub waits: bool,
-    /// Why no bound counts for it; in the record for good.
+    /// Reason for bypassing all bounds, if it does; kept in a separate record that ordinary lines do not push out.
     pub beyond: Option<String>,
-    /// The release that it is for; only a leader asks so.
+    /// The release that this request belongs to; only a leader may set it.
     pub release: Option<u64>,
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// By hand: somebody wants targets out.
+    /// By an operator: requests a permit to take targets out.
     Ask(Asking),
-    /// By hand: a permit is given up; what is out under it is brought back.
+    /// By an operator: withdraws a permit; targets that are out under it are returned to service.
     Withdraw {
-        /// The wish's number.
+        /// Request id.
         id: u64,
-        /// Who gives it up.
+        /// Name of the operator.
         by: String,
     },
-    /// By hand: its holder is done with a target, which runs again.
+    /// By an operator: the holder has finished with a target, which runs again.
     Returned {
-        /// Which.
+        /// The target.
         target: Target,
-        /// Under which grant.
+        /// Fence of the grant.
         fence: Fence,
-        /// What it runs now; has to be told where it was out for a release.
+        /// Version that the target runs now; required if it was out for a release.
         runs: Option<String>,
     },
-    /// By hand: a release is planned.
+    /// By an operator: adds a planned release.
     Plan(Box<Plan>),
-    /// By hand: it begins.
+    /// By an operator: starts a release.
     Begin {
-        /// Which.
+        /// Id of the release.
         release: u64,
-        /// Who says so.
+        /// Who requests this.
         by: String,
     },
-    /// By hand, or by a leader for the gate: nothing more goes out for a release.
+    /// By an operator, or by a leader for the gate: halts a release; no further targets are taken out for it.
     Hold {
-        /// Which.
+        /// Id of the release.
         release: u64,
-        /// Who says so.
+        /// Who requests this.
         by: String,
-        /// Why.
+        /// Reason.
         why: String,
     },
-    /// By hand: it goes on where it was held.
+    /// By an operator: resumes a halted release where it was halted.
     GoOn {
-        /// Which.
+        /// Id of the release.
         release: u64,
-        /// Who says so.
+        /// Who requests this.
         by: String,
     },
-    /// By hand, or by a leader where the plan says so: all that run it go back.
+    /// By an operator, or by a leader if the plan allows it: rolls back all targets that run the release.
     TurnBack {
-        /// Which.
+        /// Id of the release.
         release: u64,
-        /// Who says so.
+        /// Who requests this.
         by: String,
     },
-    /// By a leader: a release is a stage further.
+    /// By a leader: moves a release to its next stage.
     Advance {
-        /// Which.
+        /// Id of the release.
         release: u64,
-        /// To where.
+        /// The next stage.
         to: Stage,
-        /// What was seen of what is not released and of what is, in failures of all.
+        /// Observed attempts and failures: first of targets without the release, then of targets with it.
         seen: Option<(Ended, Ended)>,
     },
-    /// By hand: nothing goes out from here on, and what has not been emptied yet comes back.
+    /// By an operator: stops all grants; targets that are not fully drained yet return to service.
     Halt {
-        /// Who.
+        /// Name of the operator.
         by: String,
-        /// Why.
+        /// Reason.
         why: String,
     },
-    /// By hand: grants go on.
+    /// By an operator: resumes grants after a halt.
     Resume {
-        /// Who.
+        /// Name of the operator.
         by: String,
     },
-    /// By hand: other bounds; none at all takes them off.
+    /// By an operator: replaces the bounds; an empty list removes them.
     Bounds {
-        /// All of them.
+        /// The complete new list.
         bounds: Vec<Bound>,
-        /// Who sets them.
+        /// Name of the operator.
         by: String,
-        /// Why.
+        /// Reason.
         why: String,
     },
-    /// By hand: a proxy has ended for good.
+    /// By an operator: a proxy has terminated permanently.
     Forget {
-        /// Its name.
+        /// Name of the proxy.
         proxy: String,
-        /// Who says so.
+        /// Who requests this.
         by: String,
     },
-    /// By a leader: what is known of targets; nothing for one that is no part of the fleet any more.
+    /// By a leader: updates the known state of targets; `None` for a target that has left the fleet.
     Seen(Vec<(Target, Option<Known>)>),
-    /// By a leader: a permit that waits is due.
+    /// By a leader: proposes to grant a waiting permit.
     Grant {
-        /// Its wish's number.
+        /// Request id of the permit.
         id: u64,
-        /// What was measured, where a bound asks for it.
+        /// Measured load and capacity, if a bound requires them.
         evidence: Option<Evidence>,
     },
-    /// By a leader: nobody sends anything there any more, and nothing is under way.
+    /// By a leader: no proxy sends to the target any more, and no request is in flight there.
     Drained {
-        /// Which.
+        /// The target.
         target: Target,
-        /// Under which grant.
+        /// Fence of the grant.
         fence: Fence,
-        /// Since which version of the rules all proxies know that it takes nothing.
+        /// Rules version since which all proxies treat the target as drained.
         version: Version,
     },
-    /// By a leader: it is back, seen by proxies, ready and warm.
+    /// By a leader: the target is back in service: reached by proxies, ready and past its slow start.
     Back {
-        /// Which.
+        /// The target.
         target: Target,
-        /// Under which grant.
+        /// Fence of the grant.
         fence: Fence,
     },
 }
 
-/// What is known of a target.
+/// Known state of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Known {
-    /// By what bounds count it.
+    /// Labels that determine the scopes of bounds.
     pub labels: Labels,
-    /// It is silent, not yet seen well, or taken out past all permits: it counts as out.
+    /// The target is silent, has not been observed healthy yet, or was drained without a permit; it counts as out.
     pub lost: bool,
 }
 
-/// How far a target is that is out by intent.
+/// Phase of a target that is out under a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It is being emptied.
+    /// The target is draining.
     Granted,
-    /// It is empty, and its holder's; the version of the rules since which nobody sends there.
+    /// The target is drained and handed to the holder; carries the rules version since which no proxy sends to it.
     Drained(Version),
-    /// It is taken into use again, and has not been seen well yet.
+    /// The target is returning to service and has not been observed healthy yet.
     Returning,
 }
 
 /// A permit, waiting or granted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
-    /// The wish.
+    /// The request.
     pub asking: Asking,
-    /// Its place among all that were ever asked.
+    /// Sequence number among all requests.
     pub order: u64,
-    /// How often later ones went first.
+    /// Number of later requests that were granted first.
     pub overtaken: u32,
-    /// Once granted: its fence, and the targets that are still out.
+    /// Once granted: the fence, and the targets that are still out with their phase.
     pub grant: Option<(Fence, BTreeMap<Target, Phase>)>,
 }
 
-/// A line of the record.
+/// A line of the audit record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// Counted up.
+    /// Sequence number of the line.
     pub number: u64,
-    /// What happened.
+    /// Description of the event.
     pub text: String,
 }
 
-/// Why something is refused; each says what can be done.
+/// Reason for a refusal; each message says what can be done.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
     /// No target is named.
     #[error("no target is named: name backends, or proxies as proxy:NAME")]
     Nothing,
-    /// Too many are.
+    /// The request names more than [`SET`] targets.
     #[error("{0} targets at once; {SET} at most: ask for a part of them")]
     Large(usize),
-    /// Not a target.
+    /// The fleet does not know the target.
     #[error(
         "'{0}' is no proxy or backend that the fleet knows: 'sandgap fleet outs' lists those that it does"
     )]
     Unknown(Target),
-    /// It is out already.
+    /// The target is out under another permit.
     #[error(
         "{target} is out under permit {fence} of {holder} ({why}): wait for it with --wait, or ask {holder}"
     )]
     Held {
-        /// Which.
+        /// The target.
         target: Target,
-        /// Under which grant.
+        /// Fence of the grant.
         fence: Fence,
-        /// Whose.
+        /// Holder of the permit.
         holder: String,
-        /// Why.
+        /// Reason.
         why: String,
     },
-    /// A bound will always stand against it.
+    /// A bound does not allow it.
     #[error("{0}")]
     Against(#[from] Against),
-    /// Too much is under way.
+    /// The number of permits has reached [`PERMITS`].
     #[error("{PERMITS} permits wait or are out already: withdraw some that nobody needs")]
     Full,
-    /// There is no such permit.
+    /// The permit is not known.
     #[error("no permit {0:x} waits or is out: it has ended, or was never asked for")]
     NoPermit(u64),
-    /// There was no such grant.
+    /// This fence was never granted.
     #[error("no permit {fence} was ever granted for {target}: 'sandgap fleet outs' lists permits")]
     Stale {
-        /// Which.
+        /// The target.
         target: Target,
-        /// Under which grant.
+        /// Fence of the grant.
         fence: Fence,
     },
-    /// Not a set of bounds.
+    /// More than [`BOUNDS`] bounds.
     #[error("{0} bounds; {BOUNDS} at most: leave some out")]
     Bounds(usize),
-    /// Nobody said what it runs.
+    /// The version that the target runs is missing.
     #[error("{target} was out for release '{release}': say what it runs now, with --runs")]
     Runs {
-        /// Which.
+        /// The target.
         target: Target,
-        /// For which release.
+        /// Name of the release.
         release: String,
     },
-    /// Not a plan.
+    /// The plan is invalid.
     #[error("the plan: {0}")]
     Plan(String),
-    /// There is none.
+    /// The release is not known.
     #[error("no such release: 'sandgap fleet release status' lists them")]
     NoRelease,
-    /// Not from where it is.
+    /// The operation is not possible at the release's current stage.
     #[error("release '{name}' is at: {stage}; that can't follow")]
     Stage {
-        /// Its name.
+        /// Name of the release.
         name: String,
-        /// Where it is.
+        /// Current stage.
         stage: String,
     },
-    /// It is alive.
+    /// The proxy is not silent, so it can't be forgotten.
     #[error("proxy '{0}' is not silent: a proxy that runs is not forgotten; end it first")]
     Alive(String),
 }
 
-/// What an entry came to.
+/// Result of applying an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It was done, or changed nothing.
+    /// The entry was applied, or changed nothing.
     Done,
-    /// A permit waits, with so many before it.
+    /// The permit waits, behind this number of others.
     Waits(usize),
-    /// A permit is granted, under this fence.
+    /// The permit is granted under this fence.
     Granted(Fence),
-    /// It has ended, under this fence; 0 if it was never granted.
+    /// The permit has ended; carries its fence, or 0 if it was never granted.
     Ended(Fence),
-    /// It is not done.
+    /// The entry was refused.
     Refused(Refusal),
 }
 
-/// See the module.
+/// State built from the log: bounds, targets, permits, releases and the audit record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     bounds: Vec<Bound>,
     targets: BTreeMap<Target, Known>,
-    /// By order.
+    /// Permits by sequence number.
     permits: BTreeMap<u64, Permit>,
     orders: u64,
     fences: Fence,
-    /// Who has halted grants, and why.
+    /// Who halted grants and the reason, while they are halted.
     halted: Option<(String, String)>,
-    /// By the plan's number.
+    /// Releases by plan id.
     releases: BTreeMap<u64, Release>,
-    /// What targets run, as their holders told.
+    /// Version that each target runs, as reported by its holder.
     runs: BTreeMap<Target, String>,
-    /// Permits that have ended, by the wish's number, with their fence.
+    /// Request id and fence of recently ended permits.
     ended: VecDeque<(u64, Fence)>,
     lines: u64,
     record: VecDeque<Line>,
-    /// Lines about bounds that were passed by intent.
+    /// Audit lines about permits that bypassed the bounds.
     beyond: VecDeque<Line>,
 }
 
 impl Ledger {
-    /// What is set.
+    /// The bounds in force.
     pub fn bounds(&self) -> &[Bound] {
         &self.bounds
     }
 
-    /// All that are known.
+    /// All known targets.
     pub fn targets(&self) -> &BTreeMap<Target, Known> {
         &self.targets
     }
 
-    /// All permits, in the order in which they were asked for.
+    /// All permits, in request order.
     pub fn permits(&self) -> impl Iterator<Item = &Permit> {
         self.permits.values()
     }
 
-    /// Who has halted grants, and why.
+    /// Who halted grants and the reason, while they are halted.
     pub fn halted(&self) -> Option<&(String, String)> {
         self.halted.as_ref()
     }
 
-    /// The record, older lines first; those about bounds that were passed by intent apart.
+    /// The audit record, oldest lines first; the second iterator has the lines about bypassed bounds.
     pub fn record(&self) -> (impl Iterator<Item = &Line>, impl Iterator<Item = &Line>) {
         (self.record.iter(), self.beyond.iter())
     }
 
-    /// The same without its record, which decides nothing: of two that are equal so each decides as the other.
+    /// Returns the ledger without its audit record. The record affects no decision, so two ledgers that are equal
+    /// without it decide alike.
     #[must_use]
     pub fn without_record(self) -> Self {
         Ledger { lines: 0, record: VecDeque::new(), beyond: VecDeque::new(), ..self }
     }
 
-    /// Whether there is anything to look after.
+    /// Whether there are no bounds, no permits and no active releases.
     pub fn is_idle(&self) -> bool {
         self.bounds.is_empty()
             && self.permits.is_empty()
             && self.releases.values().all(|r| r.stage.has_ended())
     }
 
-    /// Targets that are out by intent, with their permit's fence and how far they are.
+    /// Targets that are out under a permit, with its fence and their phase.
     pub fn granted(&self) -> impl Iterator<Item = (&Target, Fence, Phase)> {
         let grants = self.permits.values().filter_map(|p| p.grant.as_ref());
         grants.flat_map(|(fence, all)| all.iter().map(move |(t, phase)| (t, *fence, *phase)))
     }
 
-    /// How far a target is that is out by intent.
+    /// Fence and phase of a target, if it is out under a permit.
     pub fn phase(&self, target: &Target) -> Option<(Fence, Phase)> {
         self.granted().find(|(t, ..)| *t == target).map(|(_, fence, phase)| (fence, phase))
     }
 
-    /// Everything that is out, by intent or by accident.
+    /// All targets that are out under a permit or lost.
     pub fn out(&self) -> BTreeSet<Target> {
         let lost = self.targets.iter().filter(|(_, k)| k.lost).map(|(t, _)| t.clone());
         lost.chain(self.granted().map(|(t, ..)| t.clone())).collect()
     }
 
-    /// Whether a bound asks for what is measured.
+    /// Whether a bound requires measured load and capacity.
     pub fn wants_evidence(&self) -> bool {
         self.bounds.iter().any(|b| matches!(b.most, Most::Need { .. }))
     }
 
-    /// Why a permit that waits could not be granted now, by what is out and measured.
+    /// Checks whether a waiting permit could be granted now, given the targets that are out and the measurements.
     ///
     /// # Errors
-    /// The first thing that stands against it.
+    /// The first conflict that prevents the grant.
     pub fn may_go(&self, permit: &Permit, evidence: Option<&Evidence>) -> Result<(), Refusal> {
-        if let Some(held) = self.held(&permit.asking.targets) {
+        if let Some(held) = self.held_by_other(&permit.asking.targets) {
             return Err(held);
         }
         if permit.asking.beyond.is_some() {
@@ -393,41 +394,41 @@
         fleet.may_go(&permit.asking.targets, &self.bounds, evidence).map_err(Refusal::from)
     }
 
-    /// Whether a permit could be granted if nobody else were out, by the bounds that are set.
+    /// Checks whether the bounds in force would allow a permit if no other target were out.
     ///
     /// # Errors
-    /// The first of them that will always stand against it.
-    fn could_go(&self, permit: &Permit) -> Result<(), Against> {
+    /// The first bound that the permit can never satisfy.
+    fn fits_bounds_alone(&self, permit: &Permit) -> Result<(), Against> {
         match permit.asking.beyond {
             Some(_) => Ok(()),
-            None => self.could_ever(&permit.asking.targets),
+            None => self.set_fits_bounds_alone(&permit.asking.targets),
         }
     }
 
-    fn could_ever(&self, set: &BTreeSet<Target>) -> Result<(), Against> {
+    fn set_fits_bounds_alone(&self, set: &BTreeSet<Target>) -> Result<(), Against> {
         let known = self.targets.iter().map(|(t, k)| (t.clone(), k.labels.clone())).collect();
         let counts: Vec<Bound> =
             self.bounds.iter().filter(|b| !matches!(b.most, Most::Need { .. })).copied().collect();
         Fleet { known: &known, out: &BTreeSet::new() }.may_go(set, &counts, None)
     }
 
-    /// The permit that is due next: of those that fit the first by priority and age, unless one that has been passed
-    /// over too often waits for the same side.
+    /// The next permit to grant: the first in queue order that fits the bounds. A permit that has been overtaken too
+    /// often blocks later ones for targets of the same side, which prevents starvation.
     pub fn next(&self, evidence: Option<&Evidence>) -> Option<u64> {
         if self.halted.is_some() {
             return None;
         }
-        let mut kept: BTreeSet<Side> = BTreeSet::new();
-        for permit in self.queue().into_iter().filter(|p| self.may_act(p)) {
+        let mut blocked_sides: BTreeSet<Side> = BTreeSet::new();
+        for permit in self.queue().into_iter().filter(|p| self.release_allows_grant(p)) {
             let sides: BTreeSet<Side> = permit.asking.targets.iter().map(|t| t.side).collect();
-            if !sides.is_disjoint(&kept) {
+            if !sides.is_disjoint(&blocked_sides) {
                 continue;
             }
             match self.may_go(permit, evidence) {
                 Ok(()) => return Some(permit.asking.id),
-                // What will not fit as long as bounds are what they are keeps nobody waiting.
-                Err(_) if permit.overtaken >= OVERTAKEN && self.could_go(permit).is_ok() => {
-                    kept.extend(sides)
+                // A permit that can never fit the current bounds does not block others.
+                Err(_) if permit.overtaken >= OVERTAKEN && self.fits_bounds_alone(permit).is_ok() => {
+                    blocked_sides.extend(sides)
                 }
                 Err(_) => {}
             }
@@ -435,14 +436,14 @@
         None
     }
 
-    /// Permits that wait, in the order in which they are looked at.
+    /// Waiting permits in queue order: permits overtaken too often first, then by priority, then by age.
     fn queue(&self) -> Vec<&Permit> {
         let mut all: Vec<&Permit> = self.permits.values().filter(|p| p.grant.is_none()).collect();
         all.sort_by_key(|p| (p.overtaken < OVERTAKEN, std::cmp::Reverse(p.asking.priority), p.order));
         all
     }
 
-    fn held(&self, set: &BTreeSet<Target>) -> Option<Refusal> {
+    fn held_by_other(&self, set: &BTreeSet<Target>) -> Option<Refusal> {
         let permits = self.permits.values().filter_map(|p| Some((p, p.grant.as_ref()?)));
         permits.flat_map(|(p, (fence, all))| all.keys().map(move |t| (p, *fence, t))).find_map(
             |(p, fence, t)| {
@@ -452,9 +453,9 @@
         )
     }
 
-    /// Applies an entry that a majority has.
+    /// Applies a committed entry.
     pub fn apply(&mut self, entry: Entry) -> Verdict {
-        let done = match entry {
+        let verdict = match entry {
             Entry::Ask(asking) => self.ask(asking),
             Entry::Withdraw { id, by } => self.withdraw(id, &by),
             Entry::Returned { target, fence, runs } => self.returned(&target, fence, runs),
@@ -467,7 +468,7 @@
             Entry::Halt { by, why } => Ok(self.halt(cut(&by), cut(&why))),
             Entry::Resume { by } => {
                 if self.halted.take().is_some() {
-                    self.line(format!("{} lets grants go on", cut(&by)), false);
+                    self.record_line(format!("{} lets grants go on", cut(&by)), false);
                 }
                 Ok(Verdict::Done)
             }
@@ -478,11 +479,11 @@
             Entry::Drained { target, fence, version } => Ok(self.drained(&target, fence, version)),
             Entry::Back { target, fence } => Ok(self.back(&target, fence)),
         };
-        done.unwrap_or_else(Verdict::Refused)
+        verdict.unwrap_or_else(Verdict::Refused)
     }
 
     fn ask(&mut self, asking: Asking) -> Result<Verdict, Refusal> {
-        if let Some(known) = self.known(asking.id) {
+        if let Some(known) = self.request_verdict(asking.id) {
             return Ok(known);
         }
         match asking.targets.len() {
@@ -493,28 +494,28 @@
         if let Some(unknown) = asking.targets.iter().find(|t| !self.targets.contains_key(t)) {
             return Err(Refusal::Unknown(unknown.clone()));
         }
-        if let Some(held) = self.held(&asking.targets).filter(|_| !asking.waits) {
+        if let Some(held) = self.held_by_other(&asking.targets).filter(|_| !asking.waits) {
             return Err(held);
         }
         if self.permits.len() >= PERMITS {
             return Err(Refusal::Full);
         }
         if let Some(release) = asking.release {
-            self.asks_for(release, &asking.targets)?;
+            self.check_release_request(release, &asking.targets)?;
         }
         self.orders += 1;
         let (holder, why) = (cut(&asking.holder), cut(&asking.why));
         let beyond = asking.beyond.as_deref().map(cut);
         let asking = Asking { holder, why, beyond, ..asking };
         let permit = Permit { asking, order: self.orders, overtaken: 0, grant: None };
-        self.could_go(&permit)?;
+        self.fits_bounds_alone(&permit)?;
         let id = permit.asking.id;
         self.permits.insert(self.orders, permit);
-        Ok(self.known(id).unwrap_or(Verdict::Done))
+        Ok(self.request_verdict(id).unwrap_or(Verdict::Done))
     }
 
-    /// How a wish stands that was made before.
-    fn known(&self, id: u64) -> Option<Verdict> {
+    /// Current verdict for a request id that was seen before.
+    fn request_verdict(&self, id: u64) -> Option<Verdict> {
         if let Some(permit) = self.permits.values().find(|p| p.asking.id == id) {
             return Some(match &permit.grant {
                 Some((fence, _)) => Verdict::Granted(*fence),
@@ -527,7 +528,7 @@
     fn withdraw(&mut self, id: u64, by: &str) -> Result<Verdict, Refusal> {
         let order = self.permits.values().find(|p| p.asking.id == id).map(|p| p.order);
         let Some(permit) = order.and_then(|o| self.permits.get_mut(&o)) else {
-            return match self.known(id) {
+            return match self.request_verdict(id) {
                 Some(ended) => Ok(ended),
                 None => Err(Refusal::NoPermit(id)),
             };
@@ -538,14 +539,14 @@
             None => {
                 let order = permit.order;
                 self.permits.remove(&order);
-                self.end(id, 0);
+                self.remember_ended(id, 0);
             }
         }
-        self.line(text, false);
+        self.record_line(text, false);
         Ok(Verdict::Done)
     }
 
-    fn end(&mut self, id: u64, fence: Fence) {
+    fn remember_ended(&mut self, id: u64, fence: Fence) {
         if self.ended.len() == ENDED {
             self.ended.pop_front();
         }
@@ -557,14 +558,14 @@
         grants.filter(|(f, _)| *f == fence).find_map(|(_, all)| all.get_mut(target))
     }
 
-    /// Under an old fence nothing is brought back: the target may be another's by now. A call that is repeated finds
-    /// that it was heard.
+    /// An old fence returns nothing, because the target may belong to another permit by now. A repeated call gets
+    /// [`Verdict::Ended`].
     fn returned(&mut self, target: &Target, fence: Fence, runs: Option<String>) -> Result<Verdict, Refusal> {
-        let given = self.fences;
+        let last_fence = self.fences;
         let under =
             |p: &&Permit| p.grant.as_ref().is_some_and(|(f, all)| *f == fence && all.contains_key(target));
         let Some(permit) = self.permits.values().find(under) else {
-            return match fence <= given {
+            return match fence <= last_fence {
                 true => Ok(Verdict::Ended(fence)),
                 false => Err(Refusal::Stale { target: target.clone(), fence }),
             };
@@ -581,14 +582,14 @@
         Ok(Verdict::Done)
     }
 
-    /// What has not been emptied comes back at once. What is its holder's by now can't be hurried: it counts as out
-    /// until it is seen back.
+    /// Targets that are still draining return at once. A drained target belongs to its holder and may be stopped, so
+    /// it counts as out until it is observed back.
     fn halt(&mut self, by: String, why: String) -> Verdict {
         let grants = self.permits.values_mut().filter_map(|p| p.grant.as_mut());
         for phase in grants.flat_map(|(_, all)| all.values_mut()).filter(|p| **p == Phase::Granted) {
             *phase = Phase::Returning;
         }
-        self.line(format!("{by} halts: {why}"), false);
+        self.record_line(format!("{by} halts: {why}"), false);
         self.halted = Some((by, why));
         Verdict::Done
     }
@@ -598,8 +599,8 @@
             return Err(Refusal::Bounds(bounds.len()));
         }
         let all: Vec<String> = bounds.iter().map(ToString::to_string).collect();
-        let told = if all.is_empty() { "none".into() } else { all.join("; ") };
-        self.line(format!("{} sets bounds ({}): {told}", cut(by), cut(why)), false);
+        let listed = if all.is_empty() { "none".into() } else { all.join("; ") };
+        self.record_line(format!("{} sets bounds ({}): {listed}", cut(by), cut(why)), false);
         self.bounds = bounds;
         Ok(Verdict::Done)
     }
@@ -610,8 +611,8 @@
             None => Err(Refusal::Unknown(target)),
             Some(known) if !known.lost => Err(Refusal::Alive(proxy.to_owned())),
             Some(_) => {
-                self.gone(&target);
-                self.line(format!("{} says that proxy {proxy} has ended for good", cut(by)), false);
+                self.remove_target(&target);
+                self.record_line(format!("{} says that proxy {proxy} has ended for good", cut(by)), false);
                 Ok(Verdict::Done)
             }
         }
@@ -620,24 +621,26 @@
     fn seen(&mut self, all: Vec<(Target, Option<Known>)>) -> Verdict {
         for (target, known) in all {
             match known {
-                None => self.gone(&target),
+                None => self.remove_target(&target),
                 Some(known) if self.targets.contains_key(&target) || self.targets.len() < TARGETS => {
                     self.targets.insert(target, known);
                 }
-                Some(_) => {} // more than any fleet has: it can't be asked for either
+                // Over the target limit, which is above the size of any fleet: a target that is not stored can't be
+                // requested either.
+                Some(_) => {}
             }
         }
         Verdict::Done
     }
 
-    /// A target is no part of the fleet any more: nobody has to bring it back.
-    fn gone(&mut self, target: &Target) {
+    /// Removes a target that has left the fleet, also from its permits.
+    fn remove_target(&mut self, target: &Target) {
         self.targets.remove(target);
         self.runs.remove(target);
-        self.drop_target(target);
+        self.release_from_permits(target);
     }
 
-    fn drop_target(&mut self, target: &Target) {
+    fn release_from_permits(&mut self, target: &Target) {
         let mut ended = Vec::new();
         for permit in self.permits.values_mut() {
             match &mut permit.grant {
@@ -655,19 +658,20 @@
         }
         for (order, id, fence) in ended {
             self.permits.remove(&order);
-            self.end(id, fence);
+            self.remember_ended(id, fence);
         }
     }
 
-    /// Grants a permit if it is the one that is due by this state.
+    /// Grants a permit if it is the next one in this state.
     fn grant(&mut self, id: u64, evidence: Option<&Evidence>) -> Verdict {
         if self.next(evidence) != Some(id) {
-            return self.known(id).unwrap_or(Verdict::Done); // of a leader that knew less
+            // The leader proposed it from an older state.
+            return self.request_verdict(id).unwrap_or(Verdict::Done);
         }
         let Some(order) = self.permits.values().find(|p| p.asking.id == id).map(|p| p.order) else {
             return Verdict::Done;
         };
-        // Whoever asked earlier and still waits has been passed over once more.
+        // Counts one more overtaking for each earlier request that still waits.
         for passed in self.permits.range_mut(..order).map(|(_, p)| p).filter(|p| p.grant.is_none()) {
             passed.overtaken = passed.overtaken.saturating_add(1);
         }
@@ -679,15 +683,15 @@
         let names: Vec<String> = permit.asking.targets.iter().take(8).map(ToString::to_string).collect();
         let more = if permit.asking.targets.len() > 8 { ", ..." } else { "" };
         let asking = &permit.asking;
-        let past = asking.beyond.as_ref().map_or(String::new(), |b| format!(", past all bounds: {b}"));
+        let bypass = asking.beyond.as_ref().map_or(String::new(), |b| format!(", past all bounds: {b}"));
         let text = format!(
-            "permit {fence} of {} ({}): {}{more} out{past}",
+            "permit {fence} of {} ({}): {}{more} out{bypass}",
             asking.holder,
             asking.why,
             names.join(", ")
         );
         let beyond = asking.beyond.is_some();
-        self.line(text, beyond);
+        self.record_line(text, beyond);
         Verdict::Granted(fence)
     }
 
@@ -700,27 +704,28 @@
 
     fn back(&mut self, target: &Target, fence: Fence) -> Verdict {
         if self.phase_mut(target, fence).is_some_and(|p| *p == Phase::Returning) {
-            self.drop_target(target);
+            self.release_from_permits(target);
             if let Some(known) = self.targets.get_mut(target) {
                 known.lost = false;
             }
-            self.line(format!("{target} is back from permit {fence}"), false);
+            self.record_line(format!("{target} is back from permit {fence}"), false);
         }
         Verdict::Done
     }
 
-    fn line(&mut self, text: String, beyond: bool) {
+    fn record_line(&mut self, text: String, beyond: bool) {
         self.lines += 1;
         let line = Line { number: self.lines, text };
-        let room = if beyond { &mut self.beyond } else { &mut self.record };
-        if room.len() == RECORD {
-            room.pop_front();
+        let lines = if beyond { &mut self.beyond } else { &mut self.record };
+        if lines.len() == RECORD {
+            lines.pop_front();
         }
-        room.push_back(line);
+        lines.push_back(line);
     }
 
-    /// Why rules must not take the place of others now; nothing where they may. A backend leaves the rules, or is
-    /// drained by them, only under a permit, and nobody brings one back that is another's.
+    /// Checks a change of the rules; returns the reason if it is not allowed now. While bounds for backends are set,
+    /// rules may drain a backend only under a permit, and remove or move it only once drained (or lost). A backend that
+    /// is out under a permit can't be undrained by the rules.
     pub fn bars(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
         let phase = |name: &String| self.phase(&Target::backend(name));
         for name in old.drained.difference(&new.drained) {
@@ -754,7 +759,7 @@
         ))
     }
 
-    /// Leaves room for numbers that a lost majority may have given since, and lets nothing go on by itself.
+    /// Skips numbers that a lost majority may have assigned in the meantime, and halts grants.
     pub fn skip(&mut self, numbers: u64) {
         self.orders += numbers;
         self.fences += numbers;
