--- a/crates/sandgap-rollout/src/bounds.rs
+++ b/crates/sandgap-rollout/src/bounds.rs
@@ -80,12 +80,12 @@
 #[error(
     "'{0}' is not a valid bound: write SIDE:PER:MOST, such as backend:zone:1, proxy:fleet:10% or backend:fleet:need:25%:zone-lost"
 )]
-pub struct NoBound(String);
+pub struct ParseBoundError(String);
 
 impl FromStr for Bound {
-    type Err = NoBound;
+    type Err = ParseBoundError;
 
-    fn from_str(text: &str) -> Result<Self, NoBound> {
+    fn from_str(text: &str) -> Result<Self, ParseBoundError> {
         let read = || {
             let mut parts = text.split(':');
             let side = match parts.next()? {
@@ -120,7 +120,7 @@
             };
             parts.next().is_none().then_some(Bound { side, per, most })
         };
-        read().ok_or_else(|| NoBound(text.to_owned()))
+        read().ok_or_else(|| ParseBoundError(text.to_owned()))
     }
 }
 
@@ -198,7 +198,7 @@
     ///
     /// # Errors
     /// The first bound that does not allow it.
-    pub fn may_go(
+    pub fn check_out(
         &self, set: &BTreeSet<Target>, bounds: &[Bound], evidence: Option<&Evidence>,
     ) -> Result<(), Against> {
         for bound in bounds.iter().filter(|b| set.iter().any(|t| t.side == b.side)) {
@@ -286,23 +286,26 @@
         let (known, out) = (fleet(4), set(&[0]));
         let fleet = Fleet { known: &known, out: &out };
         let zone = [bound(Per::Zone, Most::Count(1))];
-        assert!(fleet.may_go(&set(&[1]), &zone, None).is_ok(), "another zone");
-        let full = fleet.may_go(&set(&[3]), &zone, None).expect_err("the same zone");
+        assert!(fleet.check_out(&set(&[1]), &zone, None).is_ok(), "another zone");
+        let full = fleet.check_out(&set(&[3]), &zone, None).expect_err("the same zone");
         assert!(full.to_string().contains("in zone a 2 would be (out: b0)"), "{full}");
-        assert!(fleet.may_go(&set(&[0]), &zone, None).is_ok(), "it is out already, so the count stays the same");
+        assert!(
+            fleet.check_out(&set(&[0]), &zone, None).is_ok(),
+            "it is out already, so the count stays the same"
+        );
         let (two, none) = (set(&[0, 3]), [bound(Per::Zone, Most::Count(1))]);
         let over_bound = Fleet { known: &known, out: &two };
         assert!(
-            over_bound.may_go(&set(&[0]), &none, None).is_err(),
+            over_bound.check_out(&set(&[0]), &none, None).is_err(),
             "more are lost than the bound allows, so none may go out under a permit"
         );
-        let never = fleet.may_go(&set(&[1, 4]), &zone, None).expect_err("two of one zone");
+        let never = fleet.check_out(&set(&[1, 4]), &zone, None).expect_err("two of one zone");
         assert!(matches!(never, Against::Never { asked: 2, .. }));
         let quarter = [bound(Per::Fleet, Most::PerMille(250))];
-        assert!(fleet.may_go(&set(&[1, 2]), &quarter, None).is_ok(), "3 of 12");
-        assert!(fleet.may_go(&set(&[1, 2, 3]), &quarter, None).is_err());
+        assert!(fleet.check_out(&set(&[1, 2]), &quarter, None).is_ok(), "3 of 12");
+        assert!(fleet.check_out(&set(&[1, 2, 3]), &quarter, None).is_err());
         assert!(
-            fleet.may_go(&set(&[1]), &[bound(Per::Fleet, Most::PerMille(80))], None).is_err(),
+            fleet.check_out(&set(&[1]), &[bound(Per::Fleet, Most::PerMille(80))], None).is_err(),
             "0.96 of one"
         );
     }
@@ -336,8 +339,8 @@
         let (known, out) = (fleet(2), BTreeSet::new());
         let fleet = Fleet { known: &known, out: &out };
         let none = [bound(Per::Fleet, Most::Count(0))];
-        assert!(fleet.may_go(&BTreeSet::from([Target::proxy("p1")]), &none, None).is_ok());
-        assert!(fleet.may_go(&set(&[1]), &none, None).is_err());
+        assert!(fleet.check_out(&BTreeSet::from([Target::proxy("p1")]), &none, None).is_ok());
+        assert!(fleet.check_out(&set(&[1]), &none, None).is_err());
     }
 
     #[test]
@@ -348,11 +351,11 @@
         let evidence = |load| Evidence { load, holds: holds.clone() };
         let need = |zone_lost| [bound(Per::Fleet, Most::Need { headroom: 250, zone_lost })];
         // Five are in service; taking one more out leaves four with a capacity of 40.
-        assert!(fleet.may_go(&set(&[0]), &need(false), Some(&evidence(32_000))).is_ok());
-        assert!(fleet.may_go(&set(&[0]), &need(false), Some(&evidence(32_001))).is_err());
+        assert!(fleet.check_out(&set(&[0]), &need(false), Some(&evidence(32_000))).is_ok());
+        assert!(fleet.check_out(&set(&[0]), &need(false), Some(&evidence(32_001))).is_err());
         // The largest zone has 20 of these.
-        assert!(fleet.may_go(&set(&[0]), &need(true), Some(&evidence(16_000))).is_ok());
-        assert!(fleet.may_go(&set(&[0]), &need(true), Some(&evidence(16_100))).is_err());
-        assert_eq!(fleet.may_go(&set(&[0]), &need(false), None), Err(Against::Unmeasured));
+        assert!(fleet.check_out(&set(&[0]), &need(true), Some(&evidence(16_000))).is_ok());
+        assert!(fleet.check_out(&set(&[0]), &need(true), Some(&evidence(16_100))).is_err());
+        assert_eq!(fleet.check_out(&set(&[0]), &need(false), None), Err(Against::Unmeasured));
     }
 }
--- a/crates/sandgap-rollout/src/carry.rs
+++ b/crates/sandgap-rollout/src/carry.rs
@@ -1,55 +1,55 @@
-//! The ledger and its conductor as a machine that the fleet's log carries.
+//! The ledger and its controller as a state machine on the fleet's replicated log.
 
 use sandgap_agree::Rulebook;
 use sandgap_agree::rider::{Rider, Tag, Unreadable, View, Wish};
 use serde::{Deserialize, Serialize};
 
-use crate::conduct::Conductor;
+use crate::controller::Controller;
 use crate::ledger::{Entry, Ledger, Phase, Verdict};
-use crate::limits::WATCHED;
+use crate::limits::MAX_WATCHED;
 use crate::news::Orders;
-use crate::steer::cohort;
+use crate::release_controller::cohort;
 use crate::target::{Side, Target};
 
-/// This machine's tag.
+/// Tag of this state machine in the log.
 pub const TAG: Tag = 1;
 
-/// How things stand, as a voter tells it.
+/// State reported by a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// All that the log has built.
+    /// The replicated ledger.
     pub ledger: Ledger,
-    /// What each target that is out waits for; only from the voter that leads.
+    /// What each target that is out waits for; complete only from the leader.
     pub waits: Vec<(Target, String)>,
-    /// Why each permit that waits does, by its wish's number.
+    /// Why each waiting permit is not granted, by request id.
     pub against: Vec<(u64, String)>,
 }
 
-/// See the module.
+/// The state machine: the replicated ledger, and the controller that proposes entries on the leader.
 #[derive(Debug, Default)]
 pub struct Rollout {
     ledger: Ledger,
-    conductor: Conductor,
+    controller: Controller,
 }
 
 impl Rollout {
-    /// What the log has built.
+    /// The replicated ledger.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 }
 
-/// The bytes of an entry.
+/// Encodes an entry.
 pub fn encode(entry: &Entry) -> Vec<u8> {
-    postcard::to_stdvec(entry).unwrap_or_default() // plain data always encodes
+    postcard::to_stdvec(entry).unwrap_or_default() // encoding plain data can't fail
 }
 
-/// What an entry came to, as it was told.
+/// Decodes a verdict.
 pub fn verdict(bytes: &[u8]) -> Option<Verdict> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// How things stand, as it was told.
+/// Decodes a status report.
 pub fn status(bytes: &[u8]) -> Option<Status> {
     postcard::from_bytes(bytes).ok()
 }
@@ -76,7 +76,7 @@
             Some(Ok((ledger, []))) => ledger,
             Some(_) => return Err(Unreadable::Foreign { what: "its part of a snapshot", tag: TAG }),
         };
-        self.conductor = Conductor::default();
+        self.controller = Controller::default();
         Ok(())
     }
 
@@ -91,29 +91,31 @@
             | Entry::Grant { .. }
             | Entry::Drained { .. }
             | Entry::Back { .. }
-            | Entry::Advance { .. } => Err("only a leader says so".into()),
-            Entry::Ask(asking) if asking.release.is_some() => Err("only a leader asks for a release".into()),
+            | Entry::Advance { .. } => Err("only the leader may propose this entry".into()),
+            Entry::Ask(asking) if asking.release.is_some() => {
+                Err("only the leader may request permits for a release".into())
+            }
             _ => Ok(()),
         }
     }
 
     fn lead(&mut self, view: &View) -> Vec<Wish> {
-        self.conductor.lead(&self.ledger, view)
+        self.controller.lead(&self.ledger, view)
     }
 
     fn answer(&self, _: &[u8], view: &View) -> Vec<u8> {
-        let waits = self.conductor.explain(&self.ledger, view);
-        let why = |permit: &crate::Permit| {
-            let why = match self.ledger.halted() {
+        let waits = self.controller.explain(&self.ledger, view);
+        let reason = |permit: &crate::Permit| {
+            let reason = match self.ledger.halted() {
                 Some((by, why)) => format!("{by} has halted grants: {why}"),
-                None => match self.ledger.may_go(permit, None) {
+                None => match self.ledger.check_grant(permit, None) {
                     Err(e) => e.to_string(),
                     Ok(()) => "others before it, or a word of the leader".into(),
                 },
             };
-            (permit.asking.id, why)
+            (permit.asking.id, reason)
         };
-        let against = self.ledger.permits().filter(|p| p.grant.is_none()).map(why).collect();
+        let against = self.ledger.permits().filter(|p| p.grant.is_none()).map(reason).collect();
         postcard::to_stdvec(&Status { ledger: self.ledger.clone(), waits, against }).unwrap_or_default()
     }
 
@@ -124,13 +126,13 @@
         let out =
             self.ledger.phase(&Target::proxy(proxy)).is_some_and(|(_, phase)| phase != Phase::Returning);
         let backends = self.ledger.granted().filter(|(t, ..)| t.side == Side::Backend);
-        let watch = backends.map(|(t, ..)| t.name.clone()).take(WATCHED).collect();
+        let watch = backends.map(|(t, ..)| t.name.clone()).take(MAX_WATCHED).collect();
         let (measure, cohort) = (self.ledger.wants_evidence(), cohort(&self.ledger));
         Orders { out, watch, dial: true, measure, cohort }.encode()
     }
 
     fn bars(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
-        self.ledger.bars(old, new)
+        self.ledger.rules_conflict(old, new)
     }
 
     fn skip(&mut self, numbers: u64) {
--- a/crates/sandgap-rollout/src/ledger.rs
+++ b/crates/sandgap-rollout/src/ledger.rs
@@ -15,7 +15,9 @@
 
 use crate::bounds::{Against, Bound, Evidence, Fleet, Most};
 use crate::gate::Ended;
-use crate::limits::{BOUNDS, ENDED, OVERTAKEN, PERMITS, RECORD, SET, TARGETS};
+use crate::limits::{
+    ENDED_PERMITS, MAX_BOUNDS, MAX_OVERTAKES, MAX_PERMIT_TARGETS, MAX_PERMITS, MAX_TARGETS, RECORD_LINES,
+};
 use crate::release::{Plan, Release, Stage};
 use crate::target::{Labels, Side, Target};
 
@@ -31,7 +33,7 @@
     pub holder: String,
     /// Reason given by the requester.
     pub why: String,
-    /// Higher priorities are granted first, up to the limit [`OVERTAKEN`].
+    /// Higher priorities are granted first, up to the limit [`MAX_OVERTAKES`].
     pub priority: u8,
     /// Targets to take out.
     pub targets: BTreeSet<Target>,
@@ -208,8 +210,8 @@
     /// No target is named.
     #[error("no target is named: name backends, or proxies as proxy:NAME")]
     Nothing,
-    /// The request names more than [`SET`] targets.
-    #[error("{0} targets at once; {SET} at most: ask for a part of them")]
+    /// The request names more than [`MAX_PERMIT_TARGETS`] targets.
+    #[error("{0} targets at once; {MAX_PERMIT_TARGETS} at most: ask for a part of them")]
     Large(usize),
     /// The fleet does not know the target.
     #[error(
@@ -233,8 +235,8 @@
     /// A bound does not allow it.
     #[error("{0}")]
     Against(#[from] Against),
-    /// The number of permits has reached [`PERMITS`].
-    #[error("{PERMITS} permits wait or are out already: withdraw some that nobody needs")]
+    /// The number of permits has reached [`MAX_PERMITS`].
+    #[error("{MAX_PERMITS} permits wait or are out already: withdraw some that nobody needs")]
     Full,
     /// The permit is not known.
     #[error("no permit {0:x} waits or is out: it has ended, or was never asked for")]
@@ -247,8 +249,8 @@
         /// Fence of the grant.
         fence: Fence,
     },
-    /// More than [`BOUNDS`] bounds.
-    #[error("{0} bounds; {BOUNDS} at most: leave some out")]
+    /// More than [`MAX_BOUNDS`] bounds.
+    #[error("{0} bounds; {MAX_BOUNDS} at most: leave some out")]
     Bounds(usize),
     /// The version that the target runs is missing.
     #[error("{target} was out for release '{release}': say what it runs now, with --runs")]
@@ -299,8 +301,8 @@
     targets: BTreeMap<Target, Known>,
     /// Permits by sequence number.
     permits: BTreeMap<u64, Permit>,
-    orders: u64,
-    fences: Fence,
+    last_order: u64,
+    last_fence: Fence,
     /// Who halted grants and the reason, while they are halted.
     halted: Option<(String, String)>,
     /// Releases by plan id.
@@ -309,7 +311,7 @@
     runs: BTreeMap<Target, String>,
     /// Request id and fence of recently ended permits.
     ended: VecDeque<(u64, Fence)>,
-    lines: u64,
+    last_line: u64,
     record: VecDeque<Line>,
     /// Audit lines about permits that bypassed the bounds.
     beyond: VecDeque<Line>,
@@ -345,7 +347,7 @@
     /// without it decide alike.
     #[must_use]
     pub fn without_record(self) -> Self {
-        Ledger { lines: 0, record: VecDeque::new(), beyond: VecDeque::new(), ..self }
+        Ledger { last_line: 0, record: VecDeque::new(), beyond: VecDeque::new(), ..self }
     }
 
     /// Whether there are no bounds, no permits and no active releases.
@@ -381,7 +383,7 @@
     ///
     /// # Errors
     /// The first conflict that prevents the grant.
-    pub fn may_go(&self, permit: &Permit, evidence: Option<&Evidence>) -> Result<(), Refusal> {
+    pub fn check_grant(&self, permit: &Permit, evidence: Option<&Evidence>) -> Result<(), Refusal> {
         if let Some(held) = self.held_by_other(&permit.asking.targets) {
             return Err(held);
         }
@@ -391,7 +393,7 @@
         let known = self.targets.iter().map(|(t, k)| (t.clone(), k.labels.clone())).collect();
         let out = self.out();
         let fleet = Fleet { known: &known, out: &out };
-        fleet.may_go(&permit.asking.targets, &self.bounds, evidence).map_err(Refusal::from)
+        fleet.check_out(&permit.asking.targets, &self.bounds, evidence).map_err(Refusal::from)
     }
 
     /// Checks whether the bounds in force would allow a permit if no other target were out.
@@ -409,12 +411,12 @@
         let known = self.targets.iter().map(|(t, k)| (t.clone(), k.labels.clone())).collect();
         let counts: Vec<Bound> =
             self.bounds.iter().filter(|b| !matches!(b.most, Most::Need { .. })).copied().collect();
-        Fleet { known: &known, out: &BTreeSet::new() }.may_go(set, &counts, None)
+        Fleet { known: &known, out: &BTreeSet::new() }.check_out(set, &counts, None)
     }
 
     /// The next permit to grant: the first in queue order that fits the bounds. A permit that has been overtaken too
     /// often blocks later ones for targets of the same side, which prevents starvation.
-    pub fn next(&self, evidence: Option<&Evidence>) -> Option<u64> {
+    pub fn next_grant(&self, evidence: Option<&Evidence>) -> Option<u64> {
         if self.halted.is_some() {
             return None;
         }
@@ -424,10 +426,10 @@
             if !sides.is_disjoint(&blocked_sides) {
                 continue;
             }
-            match self.may_go(permit, evidence) {
+            match self.check_grant(permit, evidence) {
                 Ok(()) => return Some(permit.asking.id),
                 // A permit that can never fit the current bounds does not block others.
-                Err(_) if permit.overtaken >= OVERTAKEN && self.fits_bounds_alone(permit).is_ok() => {
+                Err(_) if permit.overtaken >= MAX_OVERTAKES && self.fits_bounds_alone(permit).is_ok() => {
                     blocked_sides.extend(sides)
                 }
                 Err(_) => {}
@@ -439,7 +441,7 @@
     /// Waiting permits in queue order: permits overtaken too often first, then by priority, then by age.
     fn queue(&self) -> Vec<&Permit> {
         let mut all: Vec<&Permit> = self.permits.values().filter(|p| p.grant.is_none()).collect();
-        all.sort_by_key(|p| (p.overtaken < OVERTAKEN, std::cmp::Reverse(p.asking.priority), p.order));
+        all.sort_by_key(|p| (p.overtaken < MAX_OVERTAKES, std::cmp::Reverse(p.asking.priority), p.order));
         all
     }
 
@@ -488,7 +490,7 @@
         }
         match asking.targets.len() {
             0 => return Err(Refusal::Nothing),
-            n if n > SET => return Err(Refusal::Large(n)),
+            n if n > MAX_PERMIT_TARGETS => return Err(Refusal::Large(n)),
             _ => {}
         }
         if let Some(unknown) = asking.targets.iter().find(|t| !self.targets.contains_key(t)) {
@@ -497,20 +499,20 @@
         if let Some(held) = self.held_by_other(&asking.targets).filter(|_| !asking.waits) {
             return Err(held);
         }
-        if self.permits.len() >= PERMITS {
+        if self.permits.len() >= MAX_PERMITS {
             return Err(Refusal::Full);
         }
         if let Some(release) = asking.release {
             self.check_release_request(release, &asking.targets)?;
         }
-        self.orders += 1;
+        self.last_order += 1;
         let (holder, why) = (cut(&asking.holder), cut(&asking.why));
         let beyond = asking.beyond.as_deref().map(cut);
         let asking = Asking { holder, why, beyond, ..asking };
-        let permit = Permit { asking, order: self.orders, overtaken: 0, grant: None };
+        let permit = Permit { asking, order: self.last_order, overtaken: 0, grant: None };
         self.fits_bounds_alone(&permit)?;
         let id = permit.asking.id;
-        self.permits.insert(self.orders, permit);
+        self.permits.insert(self.last_order, permit);
         Ok(self.request_verdict(id).unwrap_or(Verdict::Done))
     }
 
@@ -547,7 +549,7 @@
     }
 
     fn remember_ended(&mut self, id: u64, fence: Fence) {
-        if self.ended.len() == ENDED {
+        if self.ended.len() == ENDED_PERMITS {
             self.ended.pop_front();
         }
         self.ended.push_back((id, fence));
@@ -561,7 +563,7 @@
     /// An old fence returns nothing, because the target may belong to another permit by now. A repeated call gets
     /// [`Verdict::Ended`].
     fn returned(&mut self, target: &Target, fence: Fence, runs: Option<String>) -> Result<Verdict, Refusal> {
-        let last_fence = self.fences;
+        let last_fence = self.last_fence;
         let under =
             |p: &&Permit| p.grant.as_ref().is_some_and(|(f, all)| *f == fence && all.contains_key(target));
         let Some(permit) = self.permits.values().find(under) else {
@@ -595,7 +597,7 @@
     }
 
     fn set_bounds(&mut self, bounds: Vec<Bound>, by: &str, why: &str) -> Result<Verdict, Refusal> {
-        if bounds.len() > BOUNDS {
+        if bounds.len() > MAX_BOUNDS {
             return Err(Refusal::Bounds(bounds.len()));
         }
         let all: Vec<String> = bounds.iter().map(ToString::to_string).collect();
@@ -622,7 +624,7 @@
         for (target, known) in all {
             match known {
                 None => self.remove_target(&target),
-                Some(known) if self.targets.contains_key(&target) || self.targets.len() < TARGETS => {
+                Some(known) if self.targets.contains_key(&target) || self.targets.len() < MAX_TARGETS => {
                     self.targets.insert(target, known);
                 }
                 // Over the target limit, which is above the size of any fleet: a target that is not stored can't be
@@ -664,7 +666,7 @@
 
     /// Grants a permit if it is the next one in this state.
     fn grant(&mut self, id: u64, evidence: Option<&Evidence>) -> Verdict {
-        if self.next(evidence) != Some(id) {
+        if self.next_grant(evidence) != Some(id) {
             // The leader proposed it from an older state.
             return self.request_verdict(id).unwrap_or(Verdict::Done);
         }
@@ -675,8 +677,8 @@
         for passed in self.permits.range_mut(..order).map(|(_, p)| p).filter(|p| p.grant.is_none()) {
             passed.overtaken = passed.overtaken.saturating_add(1);
         }
-        self.fences += 1;
-        let fence = self.fences;
+        self.last_fence += 1;
+        let fence = self.last_fence;
         let Some(permit) = self.permits.get_mut(&order) else { return Verdict::Done };
         let targets = permit.asking.targets.iter().map(|t| (t.clone(), Phase::Granted)).collect();
         permit.grant = Some((fence, targets));
@@ -714,10 +716,10 @@
     }
 
     fn record_line(&mut self, text: String, beyond: bool) {
-        self.lines += 1;
-        let line = Line { number: self.lines, text };
+        self.last_line += 1;
+        let line = Line { number: self.last_line, text };
         let lines = if beyond { &mut self.beyond } else { &mut self.record };
-        if lines.len() == RECORD {
+        if lines.len() == RECORD_LINES {
             lines.pop_front();
         }
         lines.push_back(line);
@@ -726,7 +728,7 @@
     /// Checks a change of the rules; returns the reason if it is not allowed now. While bounds for backends are set,
     /// rules may drain a backend only under a permit, and remove or move it only once drained (or lost). A backend that
     /// is out under a permit can't be undrained by the rules.
-    pub fn bars(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
+    pub fn rules_conflict(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
         let phase = |name: &String| self.phase(&Target::backend(name));
         for name in old.drained.difference(&new.drained) {
             if let Some((fence, Phase::Granted | Phase::Drained(_))) = phase(name) {
@@ -761,8 +763,8 @@
 
     /// Skips numbers that a lost majority may have assigned in the meantime, and halts grants.
     pub fn skip(&mut self, numbers: u64) {
-        self.orders += numbers;
-        self.fences += numbers;
+        self.last_order += numbers;
+        self.last_fence += numbers;
         self.halt(
             "the last resort".into(),
             "a majority of the voters is lost for good; what is out is uncertain".into(),
--- a/crates/sandgap-rollout/src/ledger/releases.rs
+++ b/crates/sandgap-rollout/src/ledger/releases.rs
@@ -6,8 +6,8 @@
 
 use super::{Entry, Fence, Ledger, Permit, Phase, Refusal, Verdict};
 use crate::gate::Ended;
-use crate::limits::{PLANNED, RELEASES, RELEASING, WAVES};
-use crate::release::{Plan, Release, Stage, number_of};
+use crate::limits::{MAX_PLAN_TARGETS, MAX_RELEASE_PERMITS, MAX_RELEASES, MAX_WAVES};
+use crate::release::{Plan, Release, Stage, hash_text};
 use crate::target::Target;
 
 type Applied = Result<Verdict, Refusal>;
@@ -47,7 +47,10 @@
         match &release.stage {
             Stage::Wave(k) => {
                 let wave = release.plan.waves.get(*k).into_iter().flatten();
-                wave.filter(|t| self.runs(release, t) != release.plan.to).filter(needs_permit).cloned().collect()
+                wave.filter(|t| self.runs(release, t) != release.plan.to)
+                    .filter(needs_permit)
+                    .cloned()
+                    .collect()
             }
             Stage::GoingBack => {
                 let mut all: Vec<Target> = self.released(release).filter(needs_permit).cloned().collect();
@@ -59,7 +62,7 @@
     }
 
     /// Whether all targets of the current stage have changed and are back in service.
-    pub fn is_through(&self, release: &Release) -> bool {
+    pub fn stage_complete(&self, release: &Release) -> bool {
         let id = release.plan.id;
         let settled = |t: &Target| self.permit_for(id, t).is_none();
         match &release.stage {
@@ -76,8 +79,8 @@
 
     /// Request id under which a leader requests a target. It changes with each request and grant, so that a withdrawn
     /// request is not repeated under its old id, which has ended.
-    pub fn wish_for(&self, release: u64, target: &Target) -> u64 {
-        number_of(&format!("{release} {target} {} {}", self.fences, self.orders))
+    pub fn request_id_for(&self, release: u64, target: &Target) -> u64 {
+        hash_text(&format!("{release} {target} {} {}", self.last_fence, self.last_order))
     }
 
     /// Whether the stage of the permit's release allows the grant; true for permits without a release.
@@ -86,12 +89,12 @@
         self.releases.get(&id).is_some_and(|r| r.stage.takes_out())
     }
 
-    /// Checks a leader's request for a release: one per target, and at most [`RELEASING`] in total.
+    /// Checks a leader's request for a release: one per target, and at most [`MAX_RELEASE_PERMITS`] in total.
     pub(super) fn check_release_request(&self, id: u64, targets: &BTreeSet<Target>) -> Result<(), Refusal> {
         let release = self.releases.get(&id).ok_or(Refusal::NoRelease)?;
         let releasing = self.permits.values().filter(|p| p.asking.release.is_some()).count();
         let duplicate = targets.iter().any(|t| self.permit_for(id, t).is_some());
-        match duplicate || releasing >= RELEASING || !release.stage.takes_out() {
+        match duplicate || releasing >= MAX_RELEASE_PERMITS || !release.stage.takes_out() {
             true => Err(Refusal::Full),
             false => Ok(()),
         }
@@ -102,9 +105,9 @@
             return Ok(Verdict::Done);
         }
         self.check_plan(&plan)?;
-        if self.releases.len() >= RELEASES {
+        if self.releases.len() >= MAX_RELEASES {
             let ended = self.releases.iter().find(|(_, r)| r.stage.has_ended()).map(|(id, _)| *id);
-            let full = || Refusal::Plan(format!("{RELEASES} releases are under way: end one"));
+            let full = || Refusal::Plan(format!("{MAX_RELEASES} releases are under way: end one"));
             self.releases.remove(&ended.ok_or_else(full)?);
         }
         let [name, from, to, by, why] =
@@ -124,8 +127,10 @@
         if all.is_empty() || plan.waves.iter().any(Vec::is_empty) {
             return invalid("a wave without a target: name some in each".into());
         }
-        if plan.waves.len() > WAVES || all.len() > PLANNED {
-            return invalid(format!("{WAVES} waves and {PLANNED} targets at most: plan two releases"));
+        if plan.waves.len() > MAX_WAVES || all.len() > MAX_PLAN_TARGETS {
+            return invalid(format!(
+                "{MAX_WAVES} waves and {MAX_PLAN_TARGETS} targets at most: plan two releases"
+            ));
         }
         if plan.from == plan.to || plan.to.is_empty() {
             return invalid("it has to lead from one release to another".into());
@@ -154,7 +159,9 @@
         Ok(())
     }
 
-    fn set_stage(&mut self, id: u64, follows: impl Fn(&Stage) -> Option<Stage>) -> Result<&mut Release, Refusal> {
+    fn set_stage(
+        &mut self, id: u64, follows: impl Fn(&Stage) -> Option<Stage>,
+    ) -> Result<&mut Release, Refusal> {
         let release = self.releases.get_mut(&id).ok_or(Refusal::NoRelease)?;
         let next = follows(&release.stage).ok_or_else(|| Refusal::Stage {
             name: release.plan.name.clone(),
@@ -243,10 +250,10 @@
         let Some(release) = self.releases.get(&id) else { return Verdict::Done };
         let last = release.plan.waves.len() - 1;
         let follows = match (&release.stage, &to) {
-            (Stage::Wave(k), Stage::Soaking(next)) => k == next && self.is_through(release),
+            (Stage::Wave(k), Stage::Soaking(next)) => k == next && self.stage_complete(release),
             (Stage::Soaking(k), Stage::Wave(next)) => *next == k + 1 && *k < last,
             (Stage::Soaking(k), Stage::Done) => *k == last,
-            (Stage::GoingBack, Stage::WentBack) => self.is_through(release),
+            (Stage::GoingBack, Stage::WentBack) => self.stage_complete(release),
             _ => false,
         };
         if follows && let Some(release) = self.releases.get_mut(&id) {
--- a/crates/sandgap-rollout/src/ledger/tests.rs
+++ b/crates/sandgap-rollout/src/ledger/tests.rs
@@ -9,7 +9,7 @@
     Some(Known { labels: labels(zone), lost })
 }
 
-/// Backends b0 to b5 in two zones, all well; at most `most` of the fleet out.
+/// Healthy backends b0 to b5 in two zones, with a bound of at most `most` out in the fleet.
 fn ledger(most: u32) -> Ledger {
     let mut ledger = Ledger::default();
     let all = (0..6).map(|n| (b(n), known(["x", "y"][n % 2], false))).collect();
@@ -45,10 +45,10 @@
     ledger.apply(Entry::Ask(asking(id, targets)))
 }
 
-/// Grants whatever is due; returns the wishes that were.
-fn run(ledger: &mut Ledger) -> Vec<u64> {
+/// Grants all permits that are due; returns their request ids.
+fn grant_due(ledger: &mut Ledger) -> Vec<u64> {
     let mut all = Vec::new();
-    while let Some(id) = ledger.next(None) {
+    while let Some(id) = ledger.next_grant(None) {
         assert!(matches!(ledger.apply(Entry::Grant { id, evidence: None }), Verdict::Granted(_)));
         all.push(id);
     }
@@ -66,41 +66,41 @@
 }
 
 #[test]
-fn a_wish_waits_while_the_bound_is_full_and_goes_once_somebody_is_back() {
+fn a_request_waits_while_the_bound_is_full_and_is_granted_after_a_return() {
     let mut l = ledger(1);
     assert_eq!(ask(&mut l, 1, &[0]), Verdict::Waits(0));
     assert_eq!(ask(&mut l, 2, &[1]), Verdict::Waits(1));
-    assert_eq!(run(&mut l), [1]);
-    assert_eq!(ask(&mut l, 1, &[0]), Verdict::Granted(1), "the same wish once more");
-    assert!(run(&mut l).is_empty());
+    assert_eq!(grant_due(&mut l), [1]);
+    assert_eq!(ask(&mut l, 1, &[0]), Verdict::Granted(1), "a duplicate of the request");
+    assert!(grant_due(&mut l).is_empty());
     bring_back(&mut l, 0);
-    assert_eq!(run(&mut l), [2]);
-    assert_eq!(ask(&mut l, 1, &[0]), Verdict::Ended(1), "a late copy takes nothing out");
+    assert_eq!(grant_due(&mut l), [2]);
+    assert_eq!(ask(&mut l, 1, &[0]), Verdict::Ended(1), "a late duplicate takes nothing out");
 }
 
 #[test]
-fn who_dropped_by_itself_takes_room_and_gives_it_back_only_when_seen() {
+fn a_lost_target_counts_as_out_until_it_is_observed_healthy() {
     let mut l = ledger(2);
     l.apply(Entry::Seen(vec![(b(5), known("y", true)), (b(4), known("x", true))]));
     ask(&mut l, 1, &[0]);
-    assert!(run(&mut l).is_empty());
+    assert!(grant_due(&mut l).is_empty());
     l.apply(Entry::Seen(vec![(b(5), known("y", false))]));
-    assert_eq!(run(&mut l), [1]);
+    assert_eq!(grant_due(&mut l), [1]);
     ask(&mut l, 2, &[4]);
     assert_eq!(
-        run(&mut l),
+        grant_due(&mut l),
         [2],
-        "what is lost already may be repaired under a permit: nothing more goes out"
+        "a lost target may be repaired under a permit, as no further target goes out"
     );
     assert_eq!(l.out().len(), 2);
 }
 
 #[test]
-fn all_of_a_set_go_or_none_and_what_can_never_go_is_refused_at_once() {
+fn a_set_is_granted_whole_or_not_and_an_impossible_one_is_refused_at_once() {
     let mut l = ledger(3);
     ask(&mut l, 1, &[0, 1]);
     ask(&mut l, 2, &[2, 3]);
-    assert_eq!(run(&mut l), [1]);
+    assert_eq!(grant_due(&mut l), [1]);
     assert_eq!(l.out().len(), 2);
     assert!(matches!(
         ask(&mut l, 3, &[1, 2, 3, 4]),
@@ -114,27 +114,27 @@
 fn a_target_of_another_permit_is_refused_with_its_holder_or_waited_for() {
     let mut l = ledger(3);
     ask(&mut l, 1, &[0]);
-    run(&mut l);
+    grant_due(&mut l);
     let hasty = Asking { waits: false, ..asking(2, &[0, 1]) };
     let Verdict::Refused(held) = l.apply(Entry::Ask(hasty)) else { panic!("refused") };
     assert!(held.to_string().contains("b0 is out under permit 1 of h1"), "{held}");
     assert_eq!(ask(&mut l, 3, &[0, 1]), Verdict::Waits(0));
-    assert!(run(&mut l).is_empty());
+    assert!(grant_due(&mut l).is_empty());
     bring_back(&mut l, 0);
-    assert_eq!(run(&mut l), [3]);
+    assert_eq!(grant_due(&mut l), [3]);
 }
 
 #[test]
-fn nobody_starves_whatever_comes_with_a_higher_priority() {
+fn a_waiting_permit_does_not_starve_behind_higher_priorities() {
     let mut l = ledger(2);
     ask(&mut l, 1, &[0]);
-    run(&mut l);
-    // Both are wanted at once, and single ones of a higher priority keep coming.
+    grant_due(&mut l);
+    // One request needs both backends, while single requests of a higher priority keep arriving.
     ask(&mut l, 2, &[4, 5]);
     let mut passed = 0;
     for n in 0..20 {
         l.apply(Entry::Ask(Asking { priority: 9, ..asking(10 + n, &[1 + n as usize % 2]) }));
-        let granted = run(&mut l);
+        let granted = grant_due(&mut l);
         if granted.contains(&2) {
             break;
         }
@@ -145,39 +145,43 @@
             bring_back(&mut l, 0);
         }
     }
-    assert_eq!(passed, OVERTAKEN as usize);
+    assert_eq!(passed, MAX_OVERTAKES as usize);
     assert!(l.phase(&b(4)).is_some());
 }
 
 #[test]
-fn after_a_halt_nothing_is_granted_and_what_was_not_empty_comes_back() {
+fn a_halt_stops_grants_and_returns_targets_that_are_not_drained() {
     let mut l = ledger(3);
     ask(&mut l, 1, &[0]);
     ask(&mut l, 2, &[1]);
-    run(&mut l);
+    grant_due(&mut l);
     let first = fence(&l, 0);
     l.apply(Entry::Drained { target: b(0), fence: first, version: 7 });
     ask(&mut l, 3, &[2]);
     l.apply(Entry::Halt { by: "ops".into(), why: "errors".into() });
-    assert_eq!(l.next(None), None);
+    assert_eq!(l.next_grant(None), None);
     l.apply(Entry::Grant { id: 3, evidence: None });
-    assert!(l.phase(&b(2)).is_none(), "of a leader that had not heard of the halt");
-    assert_eq!(l.phase(&b(0)), Some((first, Phase::Drained(7))), "its holder's: it may be stopped by now");
+    assert!(l.phase(&b(2)).is_none(), "proposed by a leader that did not know of the halt");
+    assert_eq!(
+        l.phase(&b(0)),
+        Some((first, Phase::Drained(7))),
+        "it belongs to its holder and may be stopped"
+    );
     assert!(matches!(l.phase(&b(1)), Some((_, Phase::Returning))));
     l.apply(Entry::Drained { target: b(1), fence: fence(&l, 1), version: 8 });
-    assert!(matches!(l.phase(&b(1)), Some((_, Phase::Returning))), "a proof that comes late drains nothing");
+    assert!(matches!(l.phase(&b(1)), Some((_, Phase::Returning))), "a late drained entry has no effect");
     l.apply(Entry::Resume { by: "ops".into() });
-    assert_eq!(run(&mut l), [3]);
+    assert_eq!(grant_due(&mut l), [3]);
 }
 
 #[test]
-fn an_old_fence_brings_nothing_back() {
+fn an_old_fence_returns_nothing() {
     let mut l = ledger(1);
     ask(&mut l, 1, &[0]);
-    run(&mut l);
+    grant_due(&mut l);
     bring_back(&mut l, 0);
     ask(&mut l, 2, &[0]);
-    run(&mut l);
+    grant_due(&mut l);
     let late = Entry::Returned { target: b(0), fence: 1, runs: None };
     assert_eq!(l.apply(late), Verdict::Ended(1));
     let never = Entry::Returned { target: b(0), fence: 99, runs: None };
@@ -187,37 +191,37 @@
 }
 
 #[test]
-fn a_bound_lowered_below_what_is_out_takes_nothing_back_and_grants_nothing() {
+fn a_bound_below_the_number_out_revokes_nothing_and_grants_nothing() {
     let mut l = ledger(3);
     ask(&mut l, 1, &[0, 1, 2]);
-    run(&mut l);
+    grant_due(&mut l);
     bound(&mut l, 1);
     ask(&mut l, 2, &[3]);
-    assert!(run(&mut l).is_empty());
+    assert!(grant_due(&mut l).is_empty());
     (0..3).for_each(|n| bring_back(&mut l, n));
-    assert_eq!(run(&mut l), [2]);
+    assert_eq!(grant_due(&mut l), [2]);
 }
 
 #[test]
-fn beyond_a_bound_needs_a_reason_that_stays_in_the_record() {
+fn the_reason_for_bypassing_bounds_stays_in_the_record() {
     let mut l = ledger(0);
     l.apply(Entry::Ask(Asking { beyond: Some("fire in the hall".into()), ..asking(1, &[0, 1]) }));
-    assert_eq!(run(&mut l), [1]);
-    for n in 0..2 * RECORD as u64 {
+    assert_eq!(grant_due(&mut l), [1]);
+    for n in 0..2 * RECORD_LINES as u64 {
         l.apply(Entry::Halt { by: "ops".into(), why: n.to_string() });
     }
-    assert_eq!(l.record().0.count(), RECORD);
+    assert_eq!(l.record().0.count(), RECORD_LINES);
     assert!(l.record().1.any(|line| line.text.contains("past all bounds: fire in the hall")));
 }
 
 #[test]
-fn whoever_leaves_the_fleet_needs_no_permit_any_more() {
+fn a_target_that_leaves_the_fleet_frees_its_permit() {
     let mut l = ledger(1);
     ask(&mut l, 1, &[0]);
-    run(&mut l);
+    grant_due(&mut l);
     l.apply(Entry::Seen(vec![(b(0), None)]));
     ask(&mut l, 2, &[1]);
-    assert_eq!(run(&mut l), [2]);
+    assert_eq!(grant_due(&mut l), [2]);
     l.apply(Entry::Seen(vec![(Target::proxy("p"), known("x", false))]));
     let forget = || Entry::Forget { proxy: "p".into(), by: "ops".into() };
     assert!(matches!(l.apply(forget()), Verdict::Refused(Refusal::Alive(_))));
@@ -226,7 +230,7 @@
 }
 
 #[test]
-fn rules_take_no_backend_out_but_under_a_permit_and_bring_none_back_that_is_another_s() {
+fn rules_drain_backends_only_under_a_permit_and_undrain_none_that_is_out() {
     use sandgap_agree::rulebook::{Backend, Limits, Rulebook};
     let backend = |n: u16| Backend {
         name: format!("b{n}"),
@@ -257,24 +261,28 @@
     let mut moved = old.clone();
     moved.backends.as_mut().expect("listed")[0].address = ([127, 0, 0, 1], 1).into();
     let mut l = ledger(1);
-    assert!(l.bars(&old, &drains(0)).expect("no permit").contains("sandgap fleet out b0"));
-    assert!(l.bars(&old, &without(0)).is_some() && l.bars(&old, &moved).is_some());
+    assert!(l.rules_conflict(&old, &drains(0)).expect("no permit").contains("sandgap fleet out b0"));
+    assert!(l.rules_conflict(&old, &without(0)).is_some() && l.rules_conflict(&old, &moved).is_some());
     ask(&mut l, 1, &[0]);
-    run(&mut l);
-    assert_eq!(l.bars(&old, &drains(0)), None);
-    assert!(l.bars(&old, &drains(1)).is_some());
-    assert!(l.bars(&old, &without(0)).is_some(), "requests may still go there");
-    assert!(l.bars(&drains(0), &old).expect("it is locked").contains("sandgap fleet back b0"));
+    grant_due(&mut l);
+    assert_eq!(l.rules_conflict(&old, &drains(0)), None);
+    assert!(l.rules_conflict(&old, &drains(1)).is_some());
+    assert!(l.rules_conflict(&old, &without(0)).is_some(), "requests may still go there");
+    assert!(
+        l.rules_conflict(&drains(0), &old)
+            .expect("it is out under a permit")
+            .contains("sandgap fleet back b0")
+    );
     l.apply(Entry::Drained { target: b(0), fence: 1, version: 3 });
-    assert_eq!(l.bars(&drains(0), &Rulebook { drained: ["b0".into()].into(), ..without(0) }), None);
+    assert_eq!(l.rules_conflict(&drains(0), &Rulebook { drained: ["b0".into()].into(), ..without(0) }), None);
     l.apply(Entry::Returned { target: b(0), fence: 1, runs: None });
-    assert_eq!(l.bars(&drains(0), &old), None);
+    assert_eq!(l.rules_conflict(&drains(0), &old), None);
     assert!(
-        l.bars(&old, &drains(0)).is_some(),
-        "a halt that came first: it must not begin to drain any more"
+        l.rules_conflict(&old, &drains(0)).is_some(),
+        "after it was returned, it must not be drained again"
     );
     l.apply(Entry::Bounds { bounds: vec![], by: "ops".into(), why: String::new() });
-    assert_eq!(l.bars(&old, &without(3)), None, "without bounds rules are free");
+    assert_eq!(l.rules_conflict(&old, &without(3)), None, "without bounds rules are not restricted");
 }
 
 mod releases {
@@ -302,23 +310,23 @@
         l.release(ID).expect("planned").stage.clone()
     }
 
-    /// What a leader asks for; returns the targets.
-    fn asks(l: &mut Ledger) -> Vec<Target> {
+    /// Requests permits for all due targets, as a leader does; returns the targets.
+    fn request_due(l: &mut Ledger) -> Vec<Target> {
         let due = l.due(l.release(ID).expect("planned"));
         for target in &due {
-            let id = l.wish_for(ID, target);
+            let id = l.request_id_for(ID, target);
             let asking = Asking { id, targets: [target.clone()].into(), release: Some(ID), ..asking(0, &[]) };
             l.apply(Entry::Ask(asking));
         }
         due
     }
 
-    /// All that can go goes, is changed and comes back.
-    fn change(l: &mut Ledger, runs: &str) -> usize {
+    /// Takes out, changes and returns all targets that can go; returns their number.
+    fn change_all(l: &mut Ledger, runs: &str) -> usize {
         let mut changed = 0;
         for _ in 0..50 {
-            asks(l);
-            run(l);
+            request_due(l);
+            grant_due(l);
             let Some((target, fence, _)) = l.granted().next().map(|(t, f, p)| (t.clone(), f, p)) else {
                 break;
             };
@@ -344,68 +352,68 @@
     }
 
     #[test]
-    fn waves_follow_each_other_and_none_before_the_last_is_through() {
+    fn a_wave_starts_only_after_the_one_before_is_complete() {
         let mut l = begun(&[&[0], &[1, 2]]);
         assert_eq!(advance(&mut l, Stage::Soaking(0)), Stage::Wave(0), "nothing has changed yet");
-        assert_eq!(asks(&mut l), [b(0)]);
-        assert!(asks(&mut l).is_empty(), "one wish for each");
-        assert_eq!(change(&mut l, "1.5"), 1);
-        assert_eq!(advance(&mut l, Stage::Wave(1)), Stage::Wave(0), "not without its soak");
+        assert_eq!(request_due(&mut l), [b(0)]);
+        assert!(request_due(&mut l).is_empty(), "one request per target");
+        assert_eq!(change_all(&mut l, "1.5"), 1);
+        assert_eq!(advance(&mut l, Stage::Wave(1)), Stage::Wave(0), "not before the soak");
         assert_eq!(advance(&mut l, Stage::Soaking(0)), Stage::Soaking(0));
-        assert!(asks(&mut l).is_empty(), "while it is watched nothing goes out");
+        assert!(request_due(&mut l).is_empty(), "no target goes out during the soak");
         assert_eq!(advance(&mut l, Stage::Done), Stage::Soaking(0));
         assert_eq!(advance(&mut l, Stage::Wave(1)), Stage::Wave(1));
-        assert_eq!(change(&mut l, "1.5"), 2);
+        assert_eq!(change_all(&mut l, "1.5"), 2);
         assert_eq!(advance(&mut l, Stage::Soaking(1)), Stage::Soaking(1));
         assert_eq!(advance(&mut l, Stage::Done), Stage::Done);
         assert!(l.apply(Entry::GoOn { release: ID, by: "ops".into() }) != Verdict::Done);
     }
 
     #[test]
-    fn a_halt_gives_up_what_waits_and_brings_back_what_is_not_empty() {
+    fn a_halt_withdraws_waiting_requests_and_returns_undrained_targets() {
         let mut l = begun(&[&[0, 1, 2]]);
-        asks(&mut l);
-        run(&mut l);
+        request_due(&mut l);
+        grant_due(&mut l);
         let out = l.granted().next().map(|(t, f, _)| (t.clone(), f)).expect("one is out");
         l.apply(Entry::Hold { release: ID, by: "ops".into(), why: "no".into() });
         assert!(matches!(l.phase(&out.0), Some((_, Phase::Returning))));
-        assert_eq!(l.permits().count(), 1, "the others are given up");
-        assert!(asks(&mut l).is_empty());
+        assert_eq!(l.permits().count(), 1, "the others are withdrawn");
+        assert!(request_due(&mut l).is_empty());
         let back = Entry::Returned { target: out.0.clone(), fence: out.1, runs: None };
         assert!(
             matches!(l.apply(back), Verdict::Refused(Refusal::Runs { .. })),
-            "what it runs has to be told"
+            "the version it runs is required"
         );
         l.apply(Entry::Back { target: out.0, fence: out.1 });
         l.apply(Entry::GoOn { release: ID, by: "ops".into() });
         assert_eq!(stage(&l), Stage::Wave(0));
-        assert_eq!(change(&mut l, "1.5"), 3);
+        assert_eq!(change_all(&mut l, "1.5"), 3);
     }
 
     #[test]
-    fn the_way_back_takes_all_that_run_it_and_no_other() {
+    fn a_rollback_takes_out_exactly_the_targets_that_run_the_release() {
         let mut l = begun(&[&[0], &[1, 2], &[3]]);
-        change(&mut l, "1.5");
+        change_all(&mut l, "1.5");
         advance(&mut l, Stage::Soaking(0));
         advance(&mut l, Stage::Wave(1));
-        // One of the second wave is changed, one is out for it, then somebody turns it back.
-        asks(&mut l);
-        run(&mut l);
+        // The first wave runs the release and one target of the second wave is out when an operator starts the rollback.
+        request_due(&mut l);
+        grant_due(&mut l);
         l.apply(Entry::TurnBack { release: ID, by: "ops".into() });
         let early = l.granted().next().map(|(t, f, _)| (t.clone(), f)).expect("one was out");
         l.apply(Entry::Back { target: early.0, fence: early.1 });
         assert_eq!(advance(&mut l, Stage::WentBack), Stage::GoingBack, "b0 still runs it");
-        assert_eq!(asks(&mut l), [b(0)]);
-        // The way back can be halted, and goes on as a way back.
+        assert_eq!(request_due(&mut l), [b(0)]);
+        // A rollback can be halted, and resumes as a rollback.
         l.apply(Entry::Hold { release: ID, by: "ops".into(), why: "wait".into() });
         l.apply(Entry::GoOn { release: ID, by: "ops".into() });
         assert_eq!(stage(&l), Stage::GoingBack);
-        assert_eq!(change(&mut l, "1.4"), 1);
+        assert_eq!(change_all(&mut l, "1.4"), 1);
         assert_eq!(advance(&mut l, Stage::WentBack), Stage::WentBack);
     }
 
     #[test]
-    fn plans_that_can_t_be_carried_out_are_refused_with_what_is_wrong() {
+    fn invalid_plans_are_refused_with_the_reason() {
         let mut l = ledger(1);
         let mut refused = |plan: Plan| match l.apply(Entry::Plan(Box::new(plan))) {
             Verdict::Refused(why) => why.to_string(),
--- a/crates/sandgap-rollout/src/lib.rs
+++ b/crates/sandgap-rollout/src/lib.rs
@@ -1,19 +1,20 @@
-//! Changes that a fleet survives: who of its proxies and backends may be out at once, agreed in the fleet's log.
+//! Safe maintenance and releases in a fleet: which proxies and backends may be out at once, agreed in the fleet's log.
 //!
-//! [`ledger`] is the state that the log builds: [`bounds`], and permits that take targets out and are given back only by
-//! what has been seen. [`release`] is a plan that takes them out in waves, [`gate`] whether it hurts. [`conduct`] and [`steer`] are what a leader makes of what proxies tell ([`news`]): it proposes, and the ledger
-//! decides. [`carry`] is both behind [`sandgap_agree::Rider`]. Nothing here does I/O; `docs/rollout-design.md` has the
-//! argument for the promise.
+//! [`ledger`] is the replicated state machine: [`bounds`], and permits that take targets out and end only once the
+//! targets have been observed back. [`release`] is a plan that changes targets in waves; [`gate`] tests whether the
+//! release raises the failure rate. [`controller`] and [`release_controller`] run on the leader: they propose entries
+//! from what proxies report ([`news`]), and the ledger decides. [`carry`] implements [`sandgap_agree::Rider`] with
+//! them. Nothing here does I/O; `docs/rollout-design.md` has the safety argument.
 
 pub mod bounds;
 pub mod carry;
-pub mod conduct;
+pub mod controller;
 pub mod gate;
 pub mod ledger;
 pub mod limits;
 pub mod news;
 pub mod release;
-pub mod steer;
+pub mod release_controller;
 pub mod target;
 
 pub use bounds::{Bound, Evidence, Most, Per};
--- a/crates/sandgap-rollout/src/limits.rs
+++ b/crates/sandgap-rollout/src/limits.rs
@@ -1,36 +1,36 @@
-//! The bounds of everything that input can grow here.
+//! Limits on everything that grows with input, and the time constants.
 
 use std::time::Duration;
 
-/// Bounds that a fleet sets: a few scopes for proxies and backends.
-pub const BOUNDS: usize = 16;
-/// Targets known: each proxy and each backend of a large fleet.
-pub const TARGETS: usize = 16_384;
-/// Permits that wait or are out, together. Each is somebody's work in hand.
-pub const PERMITS: usize = 128;
-/// Targets of one permit: a zone of a large fleet. An entry of the log has room for them.
-pub const SET: usize = 1024;
-/// Releases that are kept, those that have ended included.
-pub const RELEASES: usize = 16;
-/// Targets of one release: its plan has to fit into an entry of the log.
-pub const PLANNED: usize = 1024;
-/// Waves of one.
-pub const WAVES: usize = 64;
-/// Permits that releases have waiting or out at once; the rest is for hands.
-pub const RELEASING: usize = PERMITS / 2;
-/// Lines of the record; older ones are forgotten. Lines about a bound that was passed by intent have a room of their
-/// own, so that ordinary ones never push them out.
-pub const RECORD: usize = 256;
-/// Permits that have ended and whose numbers are remembered, so that a late copy of a wish finds that it was granted.
-pub const ENDED: usize = 512;
-/// How often a waiting permit is passed over by later ones before it goes first, whatever its priority.
-pub const OVERTAKEN: u32 = 3;
-/// Targets that proxies watch for a leader at once: all that are out. What a leader may say to a proxy has room for
-/// them.
-pub const WATCHED: usize = 1024;
-/// Changes of what is known of targets in one entry.
-pub const SEEN: usize = 512;
-/// How long a target must be seen well without a break before it counts as well: it may flap.
-pub const STABLE: Duration = Duration::from_secs(2);
-/// Beside the longest deadline, what the end of a request may take at a proxy that nobody hears.
-pub const LATE: Duration = Duration::from_secs(1);
+/// Maximum number of bounds: enough for a few scopes each of proxies and backends.
+pub const MAX_BOUNDS: usize = 16;
+/// Maximum number of known targets: all proxies and backends of a large fleet.
+pub const MAX_TARGETS: usize = 16_384;
+/// Maximum number of permits, waiting and granted together. Each belongs to a task in progress.
+pub const MAX_PERMITS: usize = 128;
+/// Maximum number of targets of one permit: a zone of a large fleet. They fit into one log entry.
+pub const MAX_PERMIT_TARGETS: usize = 1024;
+/// Maximum number of stored releases, including ended ones.
+pub const MAX_RELEASES: usize = 16;
+/// Maximum number of targets of one release: its plan has to fit into one log entry.
+pub const MAX_PLAN_TARGETS: usize = 1024;
+/// Maximum number of waves of one release.
+pub const MAX_WAVES: usize = 64;
+/// Maximum number of permits that releases have waiting or granted at once; the rest is reserved for operators.
+pub const MAX_RELEASE_PERMITS: usize = MAX_PERMITS / 2;
+/// Lines kept in the audit record; older ones are dropped. Lines about bypassed bounds have a separate record of this
+/// size, so that ordinary lines never push them out.
+pub const RECORD_LINES: usize = 256;
+/// Number of ended permits whose request ids are remembered, so that a late duplicate of a request is recognized.
+pub const ENDED_PERMITS: usize = 512;
+/// How often later permits may overtake a waiting one before it goes first, whatever its priority.
+pub const MAX_OVERTAKES: u32 = 3;
+/// Maximum number of targets that proxies watch for a leader at once: all that are out. They fit into a leader's
+/// message to a proxy.
+pub const MAX_WATCHED: usize = 1024;
+/// Maximum number of target state changes in one entry.
+pub const MAX_SEEN_CHANGES: usize = 512;
+/// How long a target must be observed healthy without interruption before it counts as healthy, because it may flap.
+pub const STABLE_TIME: Duration = Duration::from_secs(2);
+/// Time added to the longest deadline for a request to end at a silent proxy.
+pub const REQUEST_END_GRACE: Duration = Duration::from_secs(1);
--- a/crates/sandgap-rollout/src/news.rs
+++ b/crates/sandgap-rollout/src/news.rs
@@ -1,91 +1,91 @@
-//! What a leader tells proxies with their leases, and what they tell it with their questions.
+//! Messages between the leader and proxies: instructions sent with leases, and reports sent with lease requests.
 
 use sandgap_agree::Version;
 use serde::{Deserialize, Serialize};
 
 use crate::gate::Ended;
-use crate::limits::WATCHED;
+use crate::limits::MAX_WATCHED;
 
-/// To a proxy.
+/// Instructions of the leader to a proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Orders {
-    /// It is out itself: it sends its clients away until this is taken back.
+    /// The proxy is out: it turns clients away while this is set.
     pub out: bool,
-    /// Backends of which it tells what it holds there.
+    /// Backends for which the proxy reports its attempts in flight.
     pub watch: Vec<String>,
-    /// Those that vote dial every backend about once a second, and tell which do not answer.
+    /// Voters connect to every backend about once a second and report those that do not answer.
     pub dial: bool,
-    /// Those that vote tell what backends are believed to hold.
+    /// Voters report the estimated capacity of backends.
     pub measure: bool,
-    /// Backends that run a release which is judged, under a number that changes with them.
+    /// Backends that run the release under test, with an id that changes with the set.
     pub cohort: Option<(u64, Vec<String>)>,
 }
 
-/// What a proxy has at a backend that it watches.
+/// Attempts of a proxy at a backend that it watches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sight {
-    /// Its name.
+    /// Name of the backend.
     pub name: String,
-    /// Attempts there that have not come to their end, long bodies and answers included.
+    /// Attempts in flight there, including those still transferring a body or an answer.
     pub held: u32,
 }
 
-/// From a proxy.
+/// Report of a proxy to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// The version that it acted on when it looked: nothing was begun since under an older one.
+    /// Rules version in use when the report was made; no attempt has been started under an older one since.
     pub version: Version,
-    /// It sends clients away.
+    /// The proxy turns clients away.
     pub out: bool,
-    /// Requests of its clients that lack their answer.
+    /// Client requests that are not answered yet.
     pub open: u32,
-    /// Its attempts at all backends.
+    /// Attempts in flight at all backends.
     pub held: u32,
-    /// See [`Orders::watch`].
+    /// Attempts in flight at watched backends; see [`Orders::watch`].
     pub sights: Vec<Sight>,
-    /// It dials backends; see [`Orders::dial`].
+    /// The proxy connects to backends; see [`Orders::dial`].
     pub dialled: bool,
-    /// Those of this version that did not answer twice in a row, or have not been dialled yet.
+    /// Backends of this version that did not answer twice in a row, or have not been dialled yet.
     pub missed: Vec<String>,
-    /// See [`Orders::measure`]; in thousandths of requests.
+    /// Estimated capacity of backends in thousandths of requests; see [`Orders::measure`].
     pub holds: Vec<(String, u64)>,
-    /// Where it stands.
+    /// Zone of the proxy.
     pub zone: Option<String>,
-    /// Attempts at all backends that have ended.
+    /// Ended attempts at all backends.
     pub ended: Ended,
-    /// Those of them at the cohort of a number, see [`Orders::cohort`].
+    /// Ended attempts at the cohort, with its id; see [`Orders::cohort`].
     pub cohort: Option<(u64, Ended)>,
 }
 
 impl Orders {
-    /// The bytes of it.
+    /// Encodes the message with postcard.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).unwrap_or_default() // plain data always encodes
+        postcard::to_stdvec(self).unwrap_or_default() // encoding plain data can't fail
     }
 
-    /// Reads it; what can't be read orders nothing.
+    /// Decodes instructions; unreadable bytes give empty instructions.
     pub fn decode(bytes: &[u8]) -> Orders {
         let mut orders: Orders = postcard::from_bytes(bytes).unwrap_or_default();
-        orders.watch.truncate(WATCHED);
+        orders.watch.truncate(MAX_WATCHED);
         if let Some((_, names)) = &mut orders.cohort {
-            names.truncate(WATCHED);
+            names.truncate(MAX_WATCHED);
         }
         orders
     }
 }
 
 impl News {
-    /// The bytes of it.
+    /// Encodes the message with postcard.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).unwrap_or_default() // plain data always encodes
+        postcard::to_stdvec(self).unwrap_or_default() // encoding plain data can't fail
     }
 
-    /// Reads it.
+    /// Decodes a report; `None` if the bytes are unreadable.
     pub fn decode(bytes: &[u8]) -> Option<News> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// What it holds at a backend, if it watches that one.
+    /// Attempts in flight at a backend, if the proxy watches it.
     pub fn held_at(&self, backend: &str) -> Option<u32> {
         self.sights.iter().find(|s| s.name == backend).map(|s| s.held)
     }
--- a/crates/sandgap-rollout/src/release.rs
+++ b/crates/sandgap-rollout/src/release.rs
@@ -1,94 +1,94 @@
-//! A release: which targets change to what, in waves, and how far that has come. States and what leads from one to
-//! another; the ledger keeps them, and a leader proposes.
+//! A release: which targets change to which version, in waves, and its current stage. The ledger stores and checks the
+//! stage; a leader proposes transitions.
 //!
 //! | from | to | by |
 //! | --- | --- | --- |
-//! | planned | wave 0 | hand |
-//! | wave k | soaking k | a leader, once each target of it runs the release and is back |
-//! | soaking k | wave k + 1, done | a leader, once the soak is over and the gate has found it good |
-//! | wave, soaking | halted | hand, the gate, or no finding in time |
-//! | halted | where it was | hand |
-//! | wave, soaking, halted, done | going back | hand, or a leader where the plan says so |
-//! | going back | went back | a leader, once no target runs the release |
+//! | planned | wave 0 | operator |
+//! | wave k | soaking k | leader, once each target of the wave runs the release and is back |
+//! | soaking k | wave k + 1, done | leader, once the soak is over and the gate reports good, or no target runs the old version |
+//! | wave, soaking | halted | operator, the gate, or no finding in time |
+//! | halted | wave k or going back, as before | operator |
+//! | wave, soaking, halted, done | going back | operator, or leader if the plan allows it |
+//! | going back | went back | leader, once no target runs the release |
 
 use serde::{Deserialize, Serialize};
 
 use crate::target::Target;
 
-/// What is wanted.
+/// Plan of a release.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Drawn by whoever plans: the same plan that arrives twice counts once.
+    /// Id chosen by the client; a duplicate plan with the same id has no further effect.
     pub id: u64,
-    /// Its name.
+    /// Name of the release.
     pub name: String,
-    /// What targets run before it, and again after the way back.
+    /// Version that targets run before the release and after a rollback.
     pub from: String,
-    /// What they run after it.
+    /// Version that targets run after the release.
     pub to: String,
-    /// Targets, wave by wave; the first one is the canary.
+    /// Targets of each wave; the first wave is the canary.
     pub waves: Vec<Vec<Target>>,
-    /// How long a wave is watched at least, ms.
+    /// Minimum soak time of a wave, ms.
     pub soak_ms: u64,
-    /// How much longer a finding is waited for before the release is halted, ms.
+    /// Time to wait for a finding after the soak before the release is halted, ms.
     pub patience_ms: u64,
-    /// Failures more, in thousandths of all, that are worth a halt.
+    /// Increase of the failure rate that warrants a halt, in per mille of attempts.
     pub margin: u32,
-    /// Goes back by itself when the gate has found it bad.
+    /// Rolls back automatically when the gate reports bad.
     pub backs: bool,
-    /// Who plans.
+    /// Name of the operator.
     pub by: String,
-    /// Why.
+    /// Reason.
     pub why: String,
 }
 
 impl Plan {
-    /// All targets.
+    /// All targets of all waves.
     pub fn targets(&self) -> impl Iterator<Item = &Target> {
         self.waves.iter().flatten()
     }
 }
 
-/// How far it is.
+/// Stage of a release.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// Nothing has begun.
+    /// Not started.
     Planned,
-    /// Targets of this wave go out, change and come back.
+    /// Targets of this wave are taken out, changed and returned.
     Wave(usize),
-    /// All of this wave are back, and watched.
+    /// All targets of this wave are back and under observation.
     Soaking(usize),
-    /// Nothing more goes out.
+    /// Halted; no further targets are taken out.
     Halted {
-        /// Who halted it.
+        /// Who halted the release.
         by: String,
-        /// Why.
+        /// Reason.
         why: String,
-        /// Where it was.
+        /// Wave in which it was halted.
         wave: usize,
-        /// It was going back.
+        /// Whether it was halted during a rollback.
         back: bool,
     },
-    /// All that run the release go back.
+    /// Targets that run the release are rolled back.
     GoingBack,
-    /// All waves have passed.
+    /// All waves are complete.
     Done,
-    /// None runs it any more.
+    /// The rollback is complete; no target runs the release.
     WentBack,
 }
 
 impl Stage {
-    /// Whether targets may go out for it.
+    /// Whether targets may be taken out in this stage.
     pub fn takes_out(&self) -> bool {
         matches!(self, Stage::Wave(_) | Stage::GoingBack)
     }
 
-    /// Whether nothing more comes of it.
+    /// Whether the release has ended.
     pub fn has_ended(&self) -> bool {
         matches!(self, Stage::Done | Stage::WentBack)
     }
 
-    /// The wave that it is in.
+    /// The current wave, or the one in which it was halted.
     pub fn wave(&self) -> Option<usize> {
         match self {
             Stage::Wave(k) | Stage::Soaking(k) | Stage::Halted { wave: k, .. } => Some(*k),
@@ -112,16 +112,16 @@
     }
 }
 
-/// A plan and how far it is.
+/// A plan and its current stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
-    /// What is wanted.
+    /// The plan.
     pub plan: Plan,
-    /// How far it is.
+    /// Current stage.
     pub stage: Stage,
 }
 
-/// A number that tells texts apart (FNV-1a, 64 bits, Fowler, Noll and Vo); no secret.
-pub(crate) fn number_of(text: &str) -> u64 {
+/// Non-cryptographic hash of a text (64-bit FNV-1a by Fowler, Noll and Vo).
+pub(crate) fn hash_text(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/crates/sandgap-rollout/src/target.rs
+++ b/crates/sandgap-rollout/src/target.rs
@@ -1,35 +1,35 @@
-//! What can be out: proxies and backends, by name, with the labels by which bounds count them.
+//! Targets: proxies and backends that can be taken out, by name, with the labels that define the scopes of bounds.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Which kind of process.
+/// Kind of process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Side {
-    /// One of the fleet's own.
+    /// A proxy of the fleet.
     Proxy,
-    /// One that requests are sent to.
+    /// A backend that proxies send requests to.
     Backend,
 }
 
 /// A proxy or a backend.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Target {
-    /// Which kind of process.
+    /// Kind of process.
     pub side: Side,
-    /// Its name.
+    /// Name of the process.
     pub name: String,
 }
 
 impl Target {
-    /// A proxy.
+    /// Creates a proxy target.
     pub fn proxy(name: &str) -> Self {
         Target { side: Side::Proxy, name: name.to_owned() }
     }
 
-    /// A backend.
+    /// Creates a backend target.
     pub fn backend(name: &str) -> Self {
         Target { side: Side::Backend, name: name.to_owned() }
     }
@@ -47,19 +47,19 @@
 impl FromStr for Target {
     type Err = std::convert::Infallible;
 
-    /// `proxy:NAME` or a backend's name.
+    /// Parses `proxy:NAME` or a backend's name.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         Ok(text.strip_prefix("proxy:").map_or_else(|| Target::backend(text), Target::proxy))
     }
 }
 
-/// By what bounds count.
+/// Labels that define the scopes of bounds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Labels {
-    /// Its zone.
+    /// Zone of the target.
     pub zone: Option<String>,
-    /// Its cell.
+    /// Cell of the target.
     pub cell: Option<u64>,
-    /// Its kind of machine.
+    /// Kind of machine it runs on.
     pub kind: Option<String>,
 }
--- a/crates/sandgap-rollout/tests/bounds.rs
+++ b/crates/sandgap-rollout/tests/bounds.rs
@@ -146,7 +146,7 @@
                 })
             }
             Step::Grant(Some(n)) => Entry::Grant { id: *self.asked.get(n)?, evidence: None },
-            Step::Grant(None) => Entry::Grant { id: self.ledger.next(None)?, evidence: None },
+            Step::Grant(None) => Entry::Grant { id: self.ledger.next_grant(None)?, evidence: None },
             Step::Drained(n) => Entry::Drained { target: target(n), fence: self.fence(n), version: 1 },
             Step::Returned(n) => Entry::Returned { target: target(n), fence: self.fence(n), runs: None },
             Step::Back(n) => Entry::Back { target: target(n), fence: self.fence(n) },
@@ -203,7 +203,7 @@
         self.ledger.apply(Entry::Bounds { bounds: bounds(0), by: "t".into(), why: String::new() });
         self.ledger.apply(Entry::Resume { by: "t".into() });
         for _ in 0..500 {
-            if let Some(id) = self.ledger.next(None) {
+            if let Some(id) = self.ledger.next_grant(None) {
                 assert!(matches!(
                     self.ledger.apply(Entry::Grant { id, evidence: None }),
                     Verdict::Granted(_)
@@ -215,7 +215,8 @@
             self.ledger.apply(Entry::Returned { target: target.clone(), fence, runs: None });
             self.ledger.apply(Entry::Back { target, fence });
         }
-        let left: Vec<_> = self.ledger.permits().filter(|p| self.ledger.may_go(p, None).is_ok()).collect();
+        let left: Vec<_> =
+            self.ledger.permits().filter(|p| self.ledger.check_grant(p, None).is_ok()).collect();
         assert!(left.is_empty(), "{left:?}");
         assert!(self.ledger.granted().next().is_none());
     }
--- a/crates/sandgap-rollout/tests/model.rs
+++ b/crates/sandgap-rollout/tests/model.rs
@@ -226,12 +226,12 @@
         if state.old.is_none() {
             actions.push(Step::Overtake);
         }
-        actions.extend(ledger.next(None).map(Step::Grant));
+        actions.extend(ledger.next_grant(None).map(Step::Grant));
         if self.0 == Defect::HaltsLate {
             actions.extend(ledger.permits().filter(|p| p.grant.is_none()).map(|p| Step::Grant(p.asking.id)));
         }
         if let Some(old) = &state.old {
-            actions.extend(read(old).next(None).map(Step::GrantByOld));
+            actions.extend(read(old).next_grant(None).map(Step::GrantByOld));
         }
         for n in 0..TARGETS {
             match state.phase(n) {
