--- a/crates/sandgap-rollout/src/controller.rs
+++ b/crates/sandgap-rollout/src/controller.rs
@@ -61,11 +61,11 @@
 
 /// Returns proxies that may hold a lease, with their last report.
 fn live_proxies<'a>(view: &'a View<'a>) -> BTreeMap<&'a String, News> {
-    let news = |told: &[(u8, Vec<u8>)]| {
+    let decode_report = |told: &[(u8, Vec<u8>)]| {
         let own = told.iter().find(|(tag, _)| *tag == TAG);
         own.and_then(|(_, bytes)| News::decode(bytes)).unwrap_or_default()
     };
-    view.live().map(|(name, known)| (name, news(&known.report.told))).collect()
+    view.live().map(|(name, known)| (name, decode_report(&known.report.told))).collect()
 }
 
 impl Context<'_> {
@@ -157,10 +157,10 @@
             .filter(|(name, news)| !is_guest(name) && news.version > 0)
             .map(|(name, _)| Target::proxy(name))
             .collect();
-        let dialled: Vec<&News> = context.live.values().filter(|n| n.dialled).collect();
+        let dialling: Vec<&News> = context.live.values().filter(|n| n.dialled).collect();
         for (target, _, draining) in context.backends() {
-            let missed = dialled.iter().filter(|n| n.missed.contains(&target.name)).count();
-            if !dialled.is_empty() && 2 * missed < dialled.len() && !draining {
+            let missed = dialling.iter().filter(|n| n.missed.contains(&target.name)).count();
+            if !dialling.is_empty() && 2 * missed < dialling.len() && !draining {
                 healthy.insert(target);
             }
         }
@@ -250,11 +250,11 @@
         }
         // Targets in use at all live proxies and healthy, without interruption since.
         let (now, live) = (context.view.now, &context.live);
-        let everywhere = |version: &Version| live.values().all(|n| n.version >= *version);
+        let applied_everywhere = |version: &Version| live.values().all(|n| n.version >= *version);
         let warming: Vec<(Target, Fence)> = self
             .used_version
             .iter()
-            .filter(|(key, version)| everywhere(version) && self.healthy_since.contains_key(&key.0))
+            .filter(|(key, version)| applied_everywhere(version) && self.healthy_since.contains_key(&key.0))
             .map(|(key, _)| key.clone())
             .collect();
         self.warming_since.retain(|key, _| warming.contains(key));
--- a/crates/sandgap-rollout/src/ledger.rs
+++ b/crates/sandgap-rollout/src/ledger.rs
@@ -33,7 +33,7 @@
     pub holder: String,
     /// Reason given by the requester.
     pub why: String,
-    /// Higher priorities are granted first, up to the limit [`MAX_OVERTAKES`].
+    /// Higher priorities are granted first, except that a permit overtaken [`MAX_OVERTAKES`] times precedes them.
     pub priority: u8,
     /// Targets to take out.
     pub targets: BTreeSet<Target>,
@@ -211,7 +211,7 @@
     #[error("no target is named: name backends, or proxies as proxy:NAME")]
     Nothing,
     /// The request names more than [`MAX_PERMIT_TARGETS`] targets.
-    #[error("{0} targets at once; {MAX_PERMIT_TARGETS} at most: ask for a part of them")]
+    #[error("{0} targets in one request, {MAX_PERMIT_TARGETS} at most: request fewer at once")]
     Large(usize),
     /// The fleet does not know the target.
     #[error(
@@ -235,14 +235,14 @@
     /// A bound does not allow it.
     #[error("{0}")]
     Against(#[from] Against),
-    /// The number of permits has reached [`MAX_PERMITS`].
-    #[error("{MAX_PERMITS} permits wait or are out already: withdraw some that nobody needs")]
+    /// Too many permits, or a leader's request that its release does not allow now.
+    #[error("{MAX_PERMITS} permits are waiting or granted, which is the maximum: withdraw unneeded ones")]
     Full,
     /// The permit is not known.
-    #[error("no permit {0:x} waits or is out: it has ended, or was never asked for")]
+    #[error("no permit {0:x} is waiting or granted: it has ended or was never requested")]
     NoPermit(u64),
     /// This fence was never granted.
-    #[error("no permit {fence} was ever granted for {target}: 'sandgap fleet outs' lists permits")]
+    #[error("permit {fence} was never granted for {target}: 'sandgap fleet outs' lists permits")]
     Stale {
         /// The target.
         target: Target,
@@ -250,7 +250,7 @@
         fence: Fence,
     },
     /// More than [`MAX_BOUNDS`] bounds.
-    #[error("{0} bounds; {MAX_BOUNDS} at most: leave some out")]
+    #[error("{0} bounds given, {MAX_BOUNDS} at most: remove some")]
     Bounds(usize),
     /// The version that the target runs is missing.
     #[error("{target} was out for release '{release}': say what it runs now, with --runs")]
@@ -275,7 +275,7 @@
         stage: String,
     },
     /// The proxy is not silent, so it can't be forgotten.
-    #[error("proxy '{0}' is not silent: a proxy that runs is not forgotten; end it first")]
+    #[error("proxy '{0}' is not silent: a running proxy can't be forgotten; stop it first")]
     Alive(String),
 }
 
@@ -384,7 +384,7 @@
     /// # Errors
     /// The first conflict that prevents the grant.
     pub fn check_grant(&self, permit: &Permit, evidence: Option<&Evidence>) -> Result<(), Refusal> {
-        if let Some(held) = self.held_by_other(&permit.asking.targets) {
+        if let Some(held) = self.conflicting_grant(&permit.asking.targets) {
             return Err(held);
         }
         if permit.asking.beyond.is_some() {
@@ -445,7 +445,7 @@
         all
     }
 
-    fn held_by_other(&self, set: &BTreeSet<Target>) -> Option<Refusal> {
+    fn conflicting_grant(&self, set: &BTreeSet<Target>) -> Option<Refusal> {
         let permits = self.permits.values().filter_map(|p| Some((p, p.grant.as_ref()?)));
         permits.flat_map(|(p, (fence, all))| all.keys().map(move |t| (p, *fence, t))).find_map(
             |(p, fence, t)| {
@@ -496,7 +496,7 @@
         if let Some(unknown) = asking.targets.iter().find(|t| !self.targets.contains_key(t)) {
             return Err(Refusal::Unknown(unknown.clone()));
         }
-        if let Some(held) = self.held_by_other(&asking.targets).filter(|_| !asking.waits) {
+        if let Some(held) = self.conflicting_grant(&asking.targets).filter(|_| !asking.waits) {
             return Err(held);
         }
         if self.permits.len() >= MAX_PERMITS {
@@ -726,7 +726,7 @@
     }
 
     /// Checks a change of the rules; returns the reason if it is not allowed now. While bounds for backends are set,
-    /// rules may drain a backend only under a permit, and remove or move it only once drained (or lost). A backend that
+    /// rules may drain a backend only under a permit, and remove, move or mark it as draining only once drained (or lost). A backend that
     /// is out under a permit can't be undrained by the rules.
     pub fn rules_conflict(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
         let phase = |name: &String| self.phase(&Target::backend(name));
--- a/crates/sandgap-rollout/src/release_controller.rs
+++ b/crates/sandgap-rollout/src/release_controller.rs
@@ -20,11 +20,13 @@
 /// Leader state about releases. It is not replicated: after an election the soak and the gate start again.
 #[derive(Debug, Default)]
 pub struct ReleaseController {
+    /// State of the current wave of each release, by release id.
     waves: BTreeMap<u64, WaveState>,
 }
 
 #[derive(Debug, Default)]
 struct WaveState {
+    /// Index of the wave.
     wave: usize,
     /// Start of the soak.
     soak_start: Option<Time>,
@@ -144,11 +146,14 @@
 }
 
 impl WaveState {
+    /// Adds the difference to the last counts of each proxy: attempts at the cohort, and at all other backends.
     fn count_at_backends(&mut self, cohort_id: u64, live: &BTreeMap<&String, News>) {
         for (name, news) in live {
-            let Some((set, new)) = news.cohort.filter(|(set, _)| *set == cohort_id) else { continue };
-            let before = self.last_counts.insert((*name).clone(), (set, new, news.ended));
-            let Some((_, old_new, old_all)) = before.filter(|(old, ..)| *old == set) else { continue };
+            let Some((current_id, new)) = news.cohort.filter(|(id, _)| *id == cohort_id) else { continue };
+            let before = self.last_counts.insert((*name).clone(), (current_id, new, news.ended));
+            let Some((_, old_new, old_all)) = before.filter(|(old_id, ..)| *old_id == current_id) else {
+                continue;
+            };
             if let (Some(new), Some(all)) = (new.since(old_new), news.ended.since(old_all)) {
                 self.new = self.new.and(new);
                 self.old = self.old.and(all.since(new).unwrap_or_default());
@@ -156,14 +161,16 @@
         }
     }
 
+    /// Adds the difference to the last counts of each proxy, by whether the proxy runs the release.
     fn count_at_proxies(&mut self, released: &BTreeSet<&String>, live: &BTreeMap<&String, News>) {
         for (name, news) in live {
             let set = u64::from(released.contains(name));
             let before = self.last_counts.insert((*name).clone(), (set, Ended::default(), news.ended));
-            let since = before.filter(|(old, ..)| *old == set).and_then(|(_, _, all)| news.ended.since(all));
-            let Some(since) = since else { continue };
+            let new_counts =
+                before.filter(|(old, ..)| *old == set).and_then(|(_, _, all)| news.ended.since(all));
+            let Some(new_counts) = new_counts else { continue };
             let cohort = if set == 1 { &mut self.new } else { &mut self.old };
-            *cohort = cohort.and(since);
+            *cohort = cohort.and(new_counts);
         }
     }
 }
--- a/crates/sandgap-rollout/tests/bounds.rs
+++ b/crates/sandgap-rollout/tests/bounds.rs
@@ -1,5 +1,5 @@
-//! The promise, over long drawn histories: no grant takes more out than any bound allows, whatever was lost before it,
-//! whoever proposes and however old what he knows; and permits end.
+//! Property test over long random histories: no grant exceeds a bound, whatever was lost before it, also when a leader
+//! proposes from an outdated state; and permits end.
 
 use std::collections::BTreeSet;
 
@@ -29,7 +29,7 @@
         priority: u8,
         beyond: bool,
     },
-    /// A leader grants what is due, or one that knows less proposes some wish.
+    /// `None`: a leader grants the permit that is due. `Some`: an outdated leader proposes an arbitrary request.
     Grant(Option<usize>),
     Drained(usize),
     Returned(usize),
@@ -73,33 +73,34 @@
     ]
 }
 
-/// How many are out where a bound counts, by hand: not the ledger's own reckoning.
-fn beyond(ledger: &Ledger) -> Vec<(String, String)> {
+/// Scopes in which more are out than a bound allows, counted independently of the ledger's code.
+fn exceeded_bounds(ledger: &Ledger) -> Vec<(String, String)> {
     let out = ledger.out();
-    let mut wrong = Vec::new();
+    let mut exceeded = Vec::new();
     for bound in ledger.bounds() {
         let scopes: BTreeSet<Option<String>> =
-            ledger.targets().values().map(|k| place(bound.per, &k.labels)).collect();
+            ledger.targets().values().map(|k| scope_of(bound.per, &k.labels)).collect();
         for scope in scopes {
             let here = |t: &&Target| {
                 t.side == bound.side
-                    && ledger.targets().get(t).is_some_and(|k| place(bound.per, &k.labels) == scope)
+                    && ledger.targets().get(t).is_some_and(|k| scope_of(bound.per, &k.labels) == scope)
             };
-            let (all, gone) = (ledger.targets().keys().filter(here).count(), out.iter().filter(here).count());
+            let (all, out_here) =
+                (ledger.targets().keys().filter(here).count(), out.iter().filter(here).count());
             let most = match bound.most {
                 Most::Count(n) => n as usize,
                 Most::PerMille(n) => all * n as usize / 1000,
                 Most::Need { .. } => usize::MAX,
             };
-            if gone > most {
-                wrong.push((format!("{bound} in {scope:?}"), format!("{gone} of {all}")));
+            if out_here > most {
+                exceeded.push((format!("{bound} in {scope:?}"), format!("{out_here} of {all}")));
             }
         }
     }
-    wrong
+    exceeded
 }
 
-fn place(per: Per, labels: &Labels) -> Option<String> {
+fn scope_of(per: Per, labels: &Labels) -> Option<String> {
     match per {
         Per::Fleet => None,
         Per::Zone => labels.zone.clone(),
@@ -108,18 +109,18 @@
     }
 }
 
-struct Play {
+struct History {
     ledger: Ledger,
-    asked: Vec<u64>,
+    request_ids: Vec<u64>,
 }
 
-impl Play {
+impl History {
     fn new() -> Self {
         let mut ledger = Ledger::default();
         let known = |n| Some(Known { labels: labels(n), lost: false });
         ledger.apply(Entry::Seen((0..BACKENDS + PROXIES).map(|n| (target(n), known(n))).collect()));
         ledger.apply(Entry::Bounds { bounds: bounds(0), by: "t".into(), why: String::new() });
-        Play { ledger, asked: Vec::new() }
+        History { ledger, request_ids: Vec::new() }
     }
 
     fn fence(&self, n: usize) -> u64 {
@@ -130,10 +131,10 @@
         let by = || "t".to_owned();
         Some(match step {
             Step::Ask { targets, priority, beyond } => {
-                let id = self.asked.len() as u64 + 1;
-                self.asked.push(id);
+                let id = self.request_ids.len() as u64 + 1;
+                self.request_ids.push(id);
                 let targets = targets.into_iter().map(target).collect();
-                let beyond = beyond.then(|| "by intent".to_owned());
+                let beyond = beyond.then(|| "bypass".to_owned());
                 Entry::Ask(Asking {
                     id,
                     holder: by(),
@@ -145,7 +146,7 @@
                     release: None,
                 })
             }
-            Step::Grant(Some(n)) => Entry::Grant { id: *self.asked.get(n)?, evidence: None },
+            Step::Grant(Some(n)) => Entry::Grant { id: *self.request_ids.get(n)?, evidence: None },
             Step::Grant(None) => Entry::Grant { id: self.ledger.next_grant(None)?, evidence: None },
             Step::Drained(n) => Entry::Drained { target: target(n), fence: self.fence(n), version: 1 },
             Step::Returned(n) => Entry::Returned { target: target(n), fence: self.fence(n), runs: None },
@@ -154,49 +155,50 @@
             Step::Gone(n) => Entry::Seen(vec![(target(n), None)]),
             Step::Halt => Entry::Halt { by: by(), why: by() },
             Step::Resume => Entry::Resume { by: by() },
-            Step::Withdraw(n) => Entry::Withdraw { id: *self.asked.get(n)?, by: by() },
+            Step::Withdraw(n) => Entry::Withdraw { id: *self.request_ids.get(n)?, by: by() },
             Step::Bound(n) => Entry::Bounds { bounds: bounds(n), by: by(), why: by() },
             Step::Restart => {
-                let bytes = postcard::to_stdvec(&self.ledger).expect("plain");
-                self.ledger = postcard::from_bytes(&bytes).expect("its own");
+                let bytes = postcard::to_stdvec(&self.ledger).expect("encode the ledger");
+                self.ledger = postcard::from_bytes(&bytes).expect("decode the encoded ledger");
                 return None;
             }
         })
     }
 
-    /// Applies a step; checks the promise across it.
+    /// Applies a step and checks the invariant across it.
     fn step(&mut self, step: Step) {
         let Some(entry) = self.entry(step) else { return };
-        let (before, wrong) = (self.ledger.clone(), beyond(&self.ledger));
+        let (before, exceeded) = (self.ledger.clone(), exceeded_bounds(&self.ledger));
         let grants = matches!(entry, Entry::Grant { .. });
-        let by_intent = match &entry {
+        let bypasses_bounds = match &entry {
             Entry::Grant { id, .. } => {
                 self.ledger.permits().any(|p| p.asking.id == *id && p.asking.beyond.is_some())
             }
             _ => false,
         };
         let verdict = self.ledger.apply(entry.clone());
-        let more: BTreeSet<Target> = self.ledger.granted().map(|(t, ..)| t.clone()).collect();
-        let had: BTreeSet<Target> = before.granted().map(|(t, ..)| t.clone()).collect();
+        let granted_after: BTreeSet<Target> = self.ledger.granted().map(|(t, ..)| t.clone()).collect();
+        let granted_before: BTreeSet<Target> = before.granted().map(|(t, ..)| t.clone()).collect();
         if !grants {
-            assert!(more.is_subset(&had), "only a grant takes anything out: {entry:?}");
-        } else if more != had && !by_intent {
-            let now = beyond(&self.ledger);
-            let places = |t: &Target| -> Vec<String> {
+            assert!(granted_after.is_subset(&granted_before), "only a grant takes anything out: {entry:?}");
+        } else if granted_after != granted_before && !bypasses_bounds {
+            let now = exceeded_bounds(&self.ledger);
+            let scopes = |t: &Target| -> Vec<String> {
                 let labels = before.targets().get(t).map(|k| k.labels.clone()).unwrap_or_default();
                 let own = before.bounds().iter().filter(|b| b.side == t.side);
-                own.map(|b| format!("{b} in {:?}", place(b.per, &labels))).collect()
+                own.map(|b| format!("{b} in {:?}", scope_of(b.per, &labels))).collect()
             };
-            let touched: BTreeSet<String> = more.difference(&had).flat_map(places).collect();
-            let passed = now.iter().find(|(place, _)| touched.contains(place));
-            assert!(passed.is_none(), "{entry:?} {verdict:?} {now:?} {wrong:?}");
+            let touched: BTreeSet<String> =
+                granted_after.difference(&granted_before).flat_map(scopes).collect();
+            let exceeded_by_grant = now.iter().find(|(scope, _)| touched.contains(scope));
+            assert!(exceeded_by_grant.is_none(), "{entry:?} {verdict:?} {now:?} {exceeded:?}");
             assert!(before.halted().is_none(), "granted while halted");
         }
         let mut seen = BTreeSet::new();
         assert!(self.ledger.granted().all(|(t, ..)| seen.insert(t.clone())), "one target under two permits");
     }
 
-    /// All is well again: whatever waits and can go, goes and ends.
+    /// Makes all targets healthy, then grants and ends every permit that can be granted.
     fn settle(&mut self) {
         let known = |n| Some(Known { labels: labels(n), lost: false });
         self.ledger.apply(Entry::Seen((0..BACKENDS + PROXIES).map(|n| (target(n), known(n))).collect()));
@@ -225,9 +227,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn no_grant_passes_a_bound_and_permits_end(steps in prop::collection::vec(step(), 1..120)) {
-        let mut play = Play::new();
-        steps.into_iter().for_each(|step| play.step(step));
-        play.settle();
+    fn no_grant_exceeds_a_bound_and_permits_end(steps in prop::collection::vec(step(), 1..120)) {
+        let mut history = History::new();
+        steps.into_iter().for_each(|step| history.step(step));
+        history.settle();
     }
 }
--- a/crates/sandgap-rollout/tests/model.rs
+++ b/crates/sandgap-rollout/tests/model.rs
@@ -1,9 +1,9 @@
-//! A model of permits, searched whole, with the real ledger in it: two holders with a target each, a third target that
-//! crashes, a bound of one, messages that come late and twice, a leader that is overtaken and proposes by an old ledger,
-//! a halt, holders that die.
+//! Exhaustive model check of permits with the real ledger: two holders with one target each, a third target that
+//! crashes, a bound of one, late and duplicate messages, a deposed leader that proposes from an old ledger, a halt, and
+//! holders that die.
 //!
-//! What is true of a target is apart from what the ledger knows: a holder that was told that its target is empty stops
-//! it, and whoever thinks it back while it is stopped has given away room that is not there.
+//! The model keeps the true state of a target apart from the ledger's view. A holder stops its target once it is told
+//! that the target is drained. If the target counts as back while it is stopped, another grant would exceed the bound.
 
 use std::collections::BTreeSet;
 
@@ -11,8 +11,8 @@
 use sandgap_rollout::{Asking, Bound, Entry, Labels, Ledger, Most, Per, Phase, Side, Target};
 use stateright::{Checker, Model, Property};
 
-const PASSED: &str = "no grant passes the bound or a halt";
-const STOPPED: &str = "what is stopped or broken is out, and what is stopped nobody uses";
+const GRANT_SAFETY: &str = "no grant exceeds the bound or ignores a halt";
+const STOPPED_IS_OUT: &str = "a stopped or broken target is out, and a stopped one is drained";
 
 const HOLDERS: usize = 2;
 const TARGETS: usize = 3;
@@ -20,32 +20,32 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Defect {
     None,
-    /// A grant is applied because a leader thought it right, whatever the ledger says by then.
+    /// A grant is applied as the leader proposed it, without the ledger's own check.
     TrustsLeader,
-    /// Who is lost is not counted.
-    ForgetsLost,
-    /// What a dead holder had counts as back after a while.
-    TimeGivesBack,
-    /// What is returned is returned, whatever the fence.
+    /// Lost targets are not counted as out.
+    IgnoresLost,
+    /// Targets of a dead holder count as back after a timeout.
+    PermitExpires,
+    /// A return is accepted with any fence.
     NoFence,
-    /// It counts as back as soon as its holder says so.
-    Unseen,
-    /// A halt stops what is asked for after it, and not what waits.
-    HaltsLate,
+    /// A target counts as back as soon as its holder reports it returned.
+    TrustsHolder,
+    /// A halt stops later requests but not waiting ones.
+    HaltSkipsWaiting,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Truth {
+enum TrueState {
     Up,
     Stopped,
-    /// Its holder has started it again and says so, and it does not work.
+    /// The holder has restarted it and reported it, but it does not work.
     Broken,
     Crashed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Holder {
-    /// With how many permits it has had.
+    /// Carries the number of permits that the holder has had.
     Wants(u8),
     Asked(u8),
     Working(u8, u64),
@@ -55,23 +55,23 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// The ledger's bytes, without its record.
+    /// The encoded ledger without its audit record.
     ledger: Vec<u8>,
-    /// As a leader knows it that has been overtaken.
-    old: Option<Vec<u8>>,
-    truth: [Truth; TARGETS],
+    /// The ledger as a deposed leader knows it.
+    old_ledger: Option<Vec<u8>>,
+    true_states: [TrueState; TARGETS],
     holders: [Holder; HOLDERS],
-    /// On their way, perhaps more than once.
-    words: BTreeSet<Word>,
-    /// A halt is acknowledged, and nobody has let grants go on.
+    /// Messages in flight; each may be delivered more than once.
+    messages: BTreeSet<Message>,
+    /// A halt has been acknowledged and grants have not been resumed.
     halted: bool,
     halts: u8,
-    /// What was wrong when it happened.
-    wrong: bool,
+    /// A grant has violated the bound or a halt.
+    unsafe_grant: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Word {
+enum Message {
     Ask(usize, u8),
     Returned(usize, u64),
 }
@@ -79,31 +79,31 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Ask(usize),
-    Deliver(Word),
-    Overtake,
+    Deliver(Message),
+    Depose,
     Grant(u64),
-    GrantByOld(u64),
+    GrantByDeposed(u64),
     Drained(usize),
     Stop(usize),
     Start(usize, bool),
-    Mend(usize),
+    Repair(usize),
     Die(usize),
     Crash,
     SeenLost,
     SeenBack(usize),
-    Forgotten(usize),
+    Expire(usize),
     Halt,
     Resume,
 }
 
-struct Permits(Defect);
+struct PermitModel(Defect);
 
 fn target(n: usize) -> Target {
     Target::backend(&format!("b{n}"))
 }
 
 fn read(bytes: &[u8]) -> Ledger {
-    postcard::from_bytes(bytes).expect("its own")
+    postcard::from_bytes(bytes).expect("decode the encoded ledger")
 }
 
 fn bounds(most: u32) -> Entry {
@@ -115,7 +115,7 @@
     Entry::Seen(vec![(target(n), Some(Known { labels: Labels::default(), lost }))])
 }
 
-/// Permits that each holder wants, one after another, for its one target.
+/// Number of permits that each holder requests in sequence for its target.
 const WANTED: [u8; HOLDERS] = [2, 1];
 
 fn asking(holder: usize, round: u8) -> Asking {
@@ -132,8 +132,8 @@
     }
 }
 
-/// Whether a holder is told that its target is empty, under the wish that it made last.
-fn told_empty(ledger: &Ledger, holder: usize, round: u8) -> bool {
+/// Whether the holder's latest request reports its target as drained.
+fn is_told_drained(ledger: &Ledger, holder: usize, round: u8) -> bool {
     let id = asking(holder, round).id;
     let own = ledger.permits().find(|p| p.asking.id == id).and_then(|p| p.grant.as_ref());
     own.is_some_and(|(_, all)| matches!(all.get(&target(holder)), Some(Phase::Drained(_))))
@@ -143,7 +143,7 @@
     fn apply(&mut self, entries: impl IntoIterator<Item = Entry>) {
         let mut ledger = read(&self.ledger);
         entries.into_iter().for_each(|entry| drop(ledger.apply(entry)));
-        self.ledger = postcard::to_stdvec(&ledger.without_record()).expect("plain");
+        self.ledger = postcard::to_stdvec(&ledger.without_record()).expect("encode the ledger");
     }
 
     fn phase(&self, n: usize) -> Option<(u64, Phase)> {
@@ -151,7 +151,7 @@
     }
 }
 
-impl Permits {
+impl PermitModel {
     fn grant(&self, state: &mut State, id: u64) {
         let before = read(&state.ledger);
         let (out, granted) = (before.out().len(), before.granted().count());
@@ -159,11 +159,11 @@
         let halt = || Entry::Halt { by: String::new(), why: String::new() };
         match self.0 {
             Defect::TrustsLeader => state.apply([bounds(9), entry, bounds(1)]),
-            Defect::ForgetsLost if state.truth[2] == Truth::Crashed => {
+            Defect::IgnoresLost if state.true_states[2] == TrueState::Crashed => {
                 let lost = before.targets()[&target(2)].lost;
                 state.apply([seen(2, false), entry, seen(2, lost)]);
             }
-            Defect::HaltsLate if before.halted().is_some() => {
+            Defect::HaltSkipsWaiting if before.halted().is_some() => {
                 state.apply([Entry::Resume { by: String::new() }, entry]);
                 if read(&state.ledger).granted().count() == granted {
                     state.apply([halt()]);
@@ -173,17 +173,18 @@
         }
         let after = read(&state.ledger);
         let more = after.granted().count() > granted;
-        state.wrong |= more && (after.out().len() > 1.max(out) || state.halted || after.out().len() > 1);
+        state.unsafe_grant |=
+            more && (after.out().len() > 1.max(out) || state.halted || after.out().len() > 1);
     }
 
-    fn deliver(&self, state: &mut State, word: Word) {
-        match word {
-            Word::Ask(holder, round) => state.apply([Entry::Ask(asking(holder, round))]),
-            Word::Returned(n, fence) => {
+    fn deliver(&self, state: &mut State, message: Message) {
+        match message {
+            Message::Ask(holder, round) => state.apply([Entry::Ask(asking(holder, round))]),
+            Message::Returned(n, fence) => {
                 let now = state.phase(n).map(|(now, _)| now);
                 let fence = if self.0 == Defect::NoFence { now.unwrap_or(fence) } else { fence };
                 state.apply([Entry::Returned { target: target(n), fence, runs: None }]);
-                if self.0 == Defect::Unseen {
+                if self.0 == Defect::TrustsHolder {
                     state.apply([Entry::Back { target: target(n), fence }]);
                 }
             }
@@ -191,20 +192,20 @@
     }
 }
 
-impl Model for Permits {
+impl Model for PermitModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         let mut state = State {
-            ledger: postcard::to_stdvec(&Ledger::default()).expect("plain"),
-            old: None,
-            truth: [Truth::Up; TARGETS],
+            ledger: postcard::to_stdvec(&Ledger::default()).expect("encode the ledger"),
+            old_ledger: None,
+            true_states: [TrueState::Up; TARGETS],
             holders: [Holder::Wants(0); HOLDERS],
-            words: BTreeSet::new(),
+            messages: BTreeSet::new(),
             halted: false,
             halts: 0,
-            wrong: false,
+            unsafe_grant: false,
         };
         state.apply((0..TARGETS).map(|n| seen(n, false)).chain([bounds(1)]));
         vec![state]
@@ -215,36 +216,38 @@
         for n in 0..HOLDERS {
             match state.holders[n] {
                 Holder::Wants(_) => actions.push(Step::Ask(n)),
-                Holder::Asked(round) if told_empty(&ledger, n, round) => actions.push(Step::Stop(n)),
+                Holder::Asked(round) if is_told_drained(&ledger, n, round) => actions.push(Step::Stop(n)),
                 Holder::Working(..) => {
                     actions.extend([Step::Start(n, true), Step::Start(n, false), Step::Die(n)]);
                 }
                 _ => {}
             }
         }
-        actions.extend(state.words.iter().map(|w| Step::Deliver(*w)));
-        if state.old.is_none() {
-            actions.push(Step::Overtake);
+        actions.extend(state.messages.iter().map(|m| Step::Deliver(*m)));
+        if state.old_ledger.is_none() {
+            actions.push(Step::Depose);
         }
         actions.extend(ledger.next_grant(None).map(Step::Grant));
-        if self.0 == Defect::HaltsLate {
+        if self.0 == Defect::HaltSkipsWaiting {
             actions.extend(ledger.permits().filter(|p| p.grant.is_none()).map(|p| Step::Grant(p.asking.id)));
         }
-        if let Some(old) = &state.old {
-            actions.extend(read(old).next_grant(None).map(Step::GrantByOld));
+        if let Some(old_ledger) = &state.old_ledger {
+            actions.extend(read(old_ledger).next_grant(None).map(Step::GrantByDeposed));
         }
         for n in 0..TARGETS {
             match state.phase(n) {
                 Some((_, Phase::Granted)) => actions.push(Step::Drained(n)),
-                Some((_, Phase::Returning)) if state.truth[n] == Truth::Up => actions.push(Step::SeenBack(n)),
-                Some(_) if self.0 == Defect::TimeGivesBack => actions.push(Step::Forgotten(n)),
+                Some((_, Phase::Returning)) if state.true_states[n] == TrueState::Up => {
+                    actions.push(Step::SeenBack(n))
+                }
+                Some(_) if self.0 == Defect::PermitExpires => actions.push(Step::Expire(n)),
                 _ => {}
             }
         }
-        actions.extend((0..HOLDERS).filter(|n| state.truth[*n] == Truth::Broken).map(Step::Mend));
-        match state.truth[2] {
-            Truth::Crashed if !ledger.targets()[&target(2)].lost => actions.push(Step::SeenLost),
-            Truth::Up => actions.push(Step::Crash),
+        actions.extend((0..HOLDERS).filter(|n| state.true_states[*n] == TrueState::Broken).map(Step::Repair));
+        match state.true_states[2] {
+            TrueState::Crashed if !ledger.targets()[&target(2)].lost => actions.push(Step::SeenLost),
+            TrueState::Up => actions.push(Step::Crash),
             _ => {}
         }
         match state.halted {
@@ -260,33 +263,33 @@
             Step::Ask(n) => {
                 let Holder::Wants(round) = last.holders[n] else { return None };
                 state.holders[n] = Holder::Asked(round);
-                state.words.insert(Word::Ask(n, round));
+                state.messages.insert(Message::Ask(n, round));
             }
-            // It stays: it may come again, or not at all.
-            Step::Deliver(word) => self.deliver(&mut state, word),
-            Step::Overtake => state.old = Some(state.ledger.clone()),
-            Step::Grant(id) | Step::GrantByOld(id) => self.grant(&mut state, id),
+            // The message stays in flight: it may be delivered again or never.
+            Step::Deliver(message) => self.deliver(&mut state, message),
+            Step::Depose => state.old_ledger = Some(state.ledger.clone()),
+            Step::Grant(id) | Step::GrantByDeposed(id) => self.grant(&mut state, id),
             Step::Drained(n) => {
                 let fence = last.phase(n)?.0;
                 state.apply([Entry::Drained { target: target(n), fence, version: 1 }]);
             }
             Step::Stop(n) => {
                 let Holder::Asked(round) = last.holders[n] else { return None };
-                state.truth[n] = Truth::Stopped;
+                state.true_states[n] = TrueState::Stopped;
                 state.holders[n] = Holder::Working(round, last.phase(n)?.0);
             }
-            Step::Mend(n) => state.truth[n] = Truth::Up,
+            Step::Repair(n) => state.true_states[n] = TrueState::Up,
             Step::Start(n, well) => {
                 let Holder::Working(round, fence) = last.holders[n] else { return None };
-                state.truth[n] = if well { Truth::Up } else { Truth::Broken };
-                state.words.insert(Word::Returned(n, fence));
+                state.true_states[n] = if well { TrueState::Up } else { TrueState::Broken };
+                state.messages.insert(Message::Returned(n, fence));
                 let more = round + 1 < WANTED[n];
                 state.holders[n] = if more { Holder::Wants(round + 1) } else { Holder::Done };
             }
             Step::Die(n) => state.holders[n] = Holder::Dead,
-            Step::Crash => state.truth[2] = Truth::Crashed,
+            Step::Crash => state.true_states[2] = TrueState::Crashed,
             Step::SeenLost => state.apply([seen(2, true)]),
-            Step::SeenBack(n) | Step::Forgotten(n) => {
+            Step::SeenBack(n) | Step::Expire(n) => {
                 let fence = last.phase(n)?.0;
                 state.apply([
                     Entry::Returned { target: target(n), fence, runs: None },
@@ -307,43 +310,46 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(PASSED, |_, state: &State| !state.wrong),
-            Property::always(STOPPED, |_, state: &State| {
-                (0..TARGETS).all(|n| match state.truth[n] {
-                    Truth::Stopped => matches!(state.phase(n), Some((_, Phase::Drained(_)))),
-                    Truth::Broken => state.phase(n).is_some(),
-                    Truth::Up | Truth::Crashed => true,
+            Property::always(GRANT_SAFETY, |_, state: &State| !state.unsafe_grant),
+            Property::always(STOPPED_IS_OUT, |_, state: &State| {
+                (0..TARGETS).all(|n| match state.true_states[n] {
+                    TrueState::Stopped => matches!(state.phase(n), Some((_, Phase::Drained(_)))),
+                    TrueState::Broken => state.phase(n).is_some(),
+                    TrueState::Up | TrueState::Crashed => true,
                 })
             }),
-            Property::sometimes("both have been out and are back", |_, state: &State| {
+            Property::sometimes("both holders have finished and no permit is left", |_, state: &State| {
                 state.holders == [Holder::Done; HOLDERS] && read(&state.ledger).permits().next().is_none()
             }),
         ]
     }
 }
 
-fn search(defect: Defect) -> impl Checker<Permits> {
-    Permits(defect).checker().threads(2).spawn_bfs().join()
+fn check(defect: Defect) -> impl Checker<PermitModel> {
+    PermitModel(defect).checker().threads(2).spawn_bfs().join()
 }
 
 #[test]
-fn no_grant_passes_a_bound_or_a_halt_in_any_state() {
-    let found = search(Defect::None);
-    println!("{} states", found.unique_state_count());
-    found.assert_properties();
+fn no_grant_exceeds_a_bound_or_ignores_a_halt_in_any_state() {
+    let checker = check(Defect::None);
+    println!("{} states", checker.unique_state_count());
+    checker.assert_properties();
 }
 
 #[test]
-fn six_defects_are_each_found() {
+fn each_of_six_defects_is_found() {
     for defect in [
         Defect::TrustsLeader,
-        Defect::ForgetsLost,
-        Defect::TimeGivesBack,
+        Defect::IgnoresLost,
+        Defect::PermitExpires,
         Defect::NoFence,
-        Defect::Unseen,
-        Defect::HaltsLate,
+        Defect::TrustsHolder,
+        Defect::HaltSkipsWaiting,
     ] {
-        let found = search(defect);
-        assert!([PASSED, STOPPED].iter().any(|name| found.discovery(name).is_some()), "{defect:?}");
+        let checker = check(defect);
+        assert!(
+            [GRANT_SAFETY, STOPPED_IS_OUT].iter().any(|name| checker.discovery(name).is_some()),
+            "{defect:?}"
+        );
     }
 }
