--- a/crates/sandgap-rollout/src/controller.rs
+++ b/crates/sandgap-rollout/src/controller.rs
@@ -105,7 +105,7 @@
         entries.extend(self.release_controller.lead(ledger, view.now, &context.live));
         self.note_rules(&context);
         for (target, fence, phase) in ledger.granted() {
-            let proof = match phase {
+            let entry = match phase {
                 Phase::Granted if self.waits_to_drain(&context, target, fence).is_none() => {
                     Some(Entry::Drained { target: target.clone(), fence, version: context.rules_version })
                 }
@@ -114,10 +114,10 @@
                 }
                 _ => None,
             };
-            entries.extend(proof);
+            entries.extend(entry);
         }
-        let own = entries.iter().map(|e| Wish::Own(encode(e)));
-        own.chain(required_rules(&context)).collect()
+        let proposals = entries.iter().map(|e| Wish::Own(encode(e)));
+        proposals.chain(required_rules(&context)).collect()
     }
 
     /// Builds the context; records which proxies have been heard and which targets are healthy.
@@ -270,8 +270,8 @@
                 let Some(since) = self.drained_version.get(&(target.clone(), fence)) else {
                     return Some("its drain to stand in the rules".into());
                 };
-                let still = |name: &String| self.may_still_send(context, name, &target.name, *since);
-                self.last_heard.keys().find_map(still)
+                let blocker = |name: &String| self.may_still_send(context, name, &target.name, *since);
+                self.last_heard.keys().find_map(blocker)
             }
             Side::Proxy => match context.live.get(&target.name) {
                 Some(news) if news.out && news.open == 0 && news.held == 0 => None,
@@ -381,7 +381,7 @@
     let mut rules = Rulebook::clone(&context.rules);
     let listed =
         |name: &str| context.rules.backends.as_ref().is_none_or(|all| all.iter().any(|b| b.name == name));
-    let (mut drains, mut uses) = (Vec::new(), Vec::new());
+    let (mut drains, mut undrains) = (Vec::new(), Vec::new());
     for (target, _, phase) in context.ledger.granted().filter(|(t, ..)| t.side == Side::Backend) {
         match phase {
             Phase::Granted | Phase::Drained(_)
@@ -389,17 +389,18 @@
             {
                 drains.push(target.name.as_str());
             }
-            Phase::Returning if rules.drained.remove(&target.name) => uses.push(target.name.as_str()),
+            Phase::Returning if rules.drained.remove(&target.name) => undrains.push(target.name.as_str()),
             _ => {}
         }
     }
-    if drains.is_empty() && uses.is_empty() {
+    if drains.is_empty() && undrains.is_empty() {
         return None;
     }
     let part = |what: &str, names: &[&str]| match names {
         [] => None,
         names => Some(format!("{what} {}", names.join(", "))),
     };
-    let why: Vec<String> = [part("drain", &drains), part("undrain", &uses)].into_iter().flatten().collect();
+    let why: Vec<String> =
+        [part("drain", &drains), part("undrain", &undrains)].into_iter().flatten().collect();
     Some(Wish::Rules(Box::new(rules), format!("permits: {}", why.join("; "))))
 }
--- a/crates/sandgap-rollout/src/gate.rs
+++ b/crates/sandgap-rollout/src/gate.rs
@@ -3,12 +3,12 @@
 //!
 //! Two e-processes are updated with the attempts since the last look. One tests the hypothesis *the new version fails no
 //! more often than the old one*, the other *the new version fails more often by at least the margin*. Each is a
-//! likelihood ratio of the rates observed so far to the closest rates that its hypothesis allows (the reverse information projection of a block of two samples:
-//! Turner, Ly and Grünwald, "Generic E-variables for exact sequential k-sample tests that allow for optional stopping",
-//! 2024, theorems 1 and 2). Under the hypothesis neither ever exceeds 1 / a with a probability above a (Ville's
-//! inequality), however often it is evaluated. So a release that is as good as the old version is halted with a probability of at
-//! most [`ErrorLimits::false_halt`], and one that is worse by the margin passes with at most
-//! [`ErrorLimits::false_pass`].
+//! likelihood ratio of the rates observed so far to the closest rates that its hypothesis allows (the reverse
+//! information projection of a block of two samples: Turner, Ly and Grünwald, "Generic E-variables for exact sequential
+//! k-sample tests that allow for optional stopping", 2024, theorems 1 and 2). Under its hypothesis neither ever exceeds
+//! 1 / a with a probability above a (Ville's inequality), however often it is evaluated. So a release that is as good as
+//! the old version is halted with a probability of at most [`ErrorLimits::false_halt`], and one that is worse by the
+//! margin passes with a probability of at most [`ErrorLimits::false_pass`].
 //!
 //! A disturbance that affects both groups alike changes both rates but neither ratio. Few requests give no finding, and
 //! an open finding does not count as *good*.
@@ -147,7 +147,7 @@
 
     const LIMITS: ErrorLimits = ErrorLimits { false_halt: 0.001, false_pass: 0.05, margin: 0.01 };
 
-    fn drawn(rng: &mut fastrand::Rng, all: u64, rate: f64) -> Ended {
+    fn draw_attempts(rng: &mut fastrand::Rng, all: u64, rate: f64) -> Ended {
         Ended { all, failed: (0..all).filter(|_| rng.f64() < rate).count() as u64 }
     }
 
@@ -159,7 +159,7 @@
         let mut gate = Gate::default();
         for n in 0..looks {
             let (old, new) = rates(n);
-            let (old, new) = (drawn(&mut rng, batch.0, old), drawn(&mut rng, batch.1, new));
+            let (old, new) = (draw_attempts(&mut rng, batch.0, old), draw_attempts(&mut rng, batch.1, new));
             gate.update(LIMITS, old, new);
             if gate.finding(LIMITS) != Finding::Open {
                 return (gate.finding(LIMITS), n + 1);
@@ -192,8 +192,8 @@
 
     #[test]
     fn a_disturbance_of_both_groups_does_not_halt_the_release() {
-        let storm = |n: usize| if n % 50 < 10 { (0.4, 0.4) } else { (0.01, 0.01) };
-        let runs: Vec<_> = (0..1000).map(|s| simulate(s, 300, (40, 10), storm)).collect();
+        let disturbance = |n: usize| if n % 50 < 10 { (0.4, 0.4) } else { (0.01, 0.01) };
+        let runs: Vec<_> = (0..1000).map(|s| simulate(s, 300, (40, 10), disturbance)).collect();
         assert!(count(Finding::Bad, &runs) <= 4, "{}", count(Finding::Bad, &runs));
     }
 
--- a/crates/sandgap-rollout/src/ledger.rs
+++ b/crates/sandgap-rollout/src/ledger.rs
@@ -314,7 +314,7 @@
     last_line: u64,
     record: VecDeque<Line>,
     /// Audit lines about permits that bypassed the bounds.
-    beyond: VecDeque<Line>,
+    bypass_record: VecDeque<Line>,
 }
 
 impl Ledger {
@@ -340,14 +340,14 @@
 
     /// The audit record, oldest lines first; the second iterator has the lines about bypassed bounds.
     pub fn record(&self) -> (impl Iterator<Item = &Line>, impl Iterator<Item = &Line>) {
-        (self.record.iter(), self.beyond.iter())
+        (self.record.iter(), self.bypass_record.iter())
     }
 
     /// Returns the ledger without its audit record. The record affects no decision, so two ledgers that are equal
     /// without it decide alike.
     #[must_use]
     pub fn without_record(self) -> Self {
-        Ledger { last_line: 0, record: VecDeque::new(), beyond: VecDeque::new(), ..self }
+        Ledger { last_line: 0, record: VecDeque::new(), bypass_record: VecDeque::new(), ..self }
     }
 
     /// Whether there are no bounds, no permits and no active releases.
@@ -692,8 +692,8 @@
             asking.why,
             names.join(", ")
         );
-        let beyond = asking.beyond.is_some();
-        self.record_line(text, beyond);
+        let bypasses_bounds = asking.beyond.is_some();
+        self.record_line(text, bypasses_bounds);
         Verdict::Granted(fence)
     }
 
@@ -715,10 +715,10 @@
         Verdict::Done
     }
 
-    fn record_line(&mut self, text: String, beyond: bool) {
+    fn record_line(&mut self, text: String, bypasses_bounds: bool) {
         self.last_line += 1;
         let line = Line { number: self.last_line, text };
-        let lines = if beyond { &mut self.beyond } else { &mut self.record };
+        let lines = if bypasses_bounds { &mut self.bypass_record } else { &mut self.record };
         if lines.len() == RECORD_LINES {
             lines.pop_front();
         }
@@ -726,8 +726,8 @@
     }
 
     /// Checks a change of the rules; returns the reason if it is not allowed now. While bounds for backends are set,
-    /// rules may drain a backend only under a permit, and remove, move or mark it as draining only once drained (or lost). A backend that
-    /// is out under a permit can't be undrained by the rules.
+    /// rules may drain a backend only under a permit, and remove, move or mark it as draining only once it is drained
+    /// under a permit or lost. A backend that is out under a permit can't be undrained by the rules.
     pub fn rules_conflict(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
         let phase = |name: &String| self.phase(&Target::backend(name));
         for name in old.drained.difference(&new.drained) {
@@ -749,11 +749,11 @@
         }
         let (Some(before), Some(after)) = (&old.backends, &new.backends) else { return None };
         let moved = before.iter().find(|b| {
-            let stays = after
+            let unchanged = after
                 .iter()
                 .any(|a| a.name == b.name && a.address == b.address && (b.draining || !a.draining));
-            let free = self.targets.get(&Target::backend(&b.name)).is_none_or(|k| k.lost);
-            !stays && !free && !matches!(phase(&b.name), Some((_, Phase::Drained(_))))
+            let not_in_service = self.targets.get(&Target::backend(&b.name)).is_none_or(|k| k.lost);
+            !unchanged && !not_in_service && !matches!(phase(&b.name), Some((_, Phase::Drained(_))))
         });
         let name = &moved?.name;
         Some(format!(
--- a/crates/sandgap-rollout/src/ledger/tests.rs
+++ b/crates/sandgap-rollout/src/ledger/tests.rs
@@ -115,8 +115,8 @@
     let mut l = ledger(3);
     ask(&mut l, 1, &[0]);
     grant_due(&mut l);
-    let hasty = Asking { waits: false, ..asking(2, &[0, 1]) };
-    let Verdict::Refused(held) = l.apply(Entry::Ask(hasty)) else { panic!("refused") };
+    let not_waiting = Asking { waits: false, ..asking(2, &[0, 1]) };
+    let Verdict::Refused(held) = l.apply(Entry::Ask(not_waiting)) else { panic!("refused") };
     assert!(held.to_string().contains("b0 is out under permit 1 of h1"), "{held}");
     assert_eq!(ask(&mut l, 3, &[0, 1]), Verdict::Waits(0));
     assert!(grant_due(&mut l).is_empty());
@@ -131,7 +131,7 @@
     grant_due(&mut l);
     // One request needs both backends, while single requests of a higher priority keep arriving.
     ask(&mut l, 2, &[4, 5]);
-    let mut passed = 0;
+    let mut overtakes = 0;
     for n in 0..20 {
         l.apply(Entry::Ask(Asking { priority: 9, ..asking(10 + n, &[1 + n as usize % 2]) }));
         let granted = grant_due(&mut l);
@@ -139,13 +139,13 @@
             break;
         }
         if !granted.is_empty() {
-            passed += 1;
+            overtakes += 1;
             bring_back(&mut l, 1 + n as usize % 2);
         } else {
             bring_back(&mut l, 0);
         }
     }
-    assert_eq!(passed, MAX_OVERTAKES as usize);
+    assert_eq!(overtakes, MAX_OVERTAKES as usize);
     assert!(l.phase(&b(4)).is_some());
 }
 
--- a/crates/sandgap-rollout/src/release_controller.rs
+++ b/crates/sandgap-rollout/src/release_controller.rs
@@ -14,7 +14,7 @@
 
 /// Name given as the author of a halt by the gate; it marks halts that may be rolled back automatically.
 pub const GATE: &str = "the gate";
-/// Permit priorities of a release and of a rollback; those of operators are usually between them.
+/// Permit priorities of a release and of a rollback; the default priority of operators' requests, 5, is between them.
 const PRIORITY: (u8, u8) = (3, 7);
 
 /// Leader state about releases. It is not replicated: after an election the soak and the gate start again.
