--- a/crates/sandgap-rollout/src/carry.rs
+++ b/crates/sandgap-rollout/src/carry.rs
@@ -19,7 +19,7 @@
 pub struct Status {
     /// The replicated ledger.
     pub ledger: Ledger,
-    /// What each target that is out waits for; complete only from the leader.
+    /// What each target that is out waits for; valid only from the leader.
     pub waits: Vec<(Target, String)>,
     /// Why each waiting permit is not granted, by request id.
     pub against: Vec<(u64, String)>,
