--- a/crates/sandgap-takeover/src/hands.rs
+++ b/crates/sandgap-takeover/src/hands.rs
@@ -71,10 +71,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Outcomes {
     sent: u64,
-    again: u64,
+    repeated: u64,
     unknown: u64,
     refused: u64,
-    met: u64,
+    handled_elsewhere: u64,
 }
 
 /// An inherited request that has not ended.
@@ -83,7 +83,7 @@
     request: Bytes,
     plan: Plan,
     /// When it is retried, if no keeper was available.
-    again: Option<Time>,
+    retry_at: Option<Time>,
     /// The step after which it may continue, or after which it has ended.
     step: u32,
     begun: bool,
@@ -100,12 +100,12 @@
 /// The takeover state of one proxy; see the module.
 pub struct Hands {
     terms: Terms,
-    part: Option<LifeState>,
+    current: Option<LifeState>,
     roll: (u64, Roll),
     departed: Roll,
     heirs: BTreeMap<Epoch, (Heir, Outcomes)>,
     inherited: BTreeMap<u64, Inherited>,
-    out: VecDeque<Output>,
+    outputs: VecDeque<Output>,
     /// Letters to this process itself.
     loopback: VecDeque<Letter>,
     /// Time of the next expiry check.
@@ -118,28 +118,38 @@
 impl Hands {
     /// Creates the state of a process that has no life yet.
     pub fn new(terms: Terms) -> Self {
-        let (part, roll, departed, heirs, inherited, out, loopback) = Default::default();
-        Hands { terms, part, roll, departed, heirs, inherited, out, loopback, expiry_check_at: Time::ZERO }
+        let (current, roll, departed, heirs, inherited, outputs, loopback) = Default::default();
+        Hands {
+            terms,
+            current,
+            roll,
+            departed,
+            heirs,
+            inherited,
+            outputs,
+            loopback,
+            expiry_check_at: Time::ZERO,
+        }
     }
 
     /// The next action.
     pub fn poll(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     /// What is kept for others: number of requests, number of unfinished ones, total bytes.
     pub fn kept(&self) -> (usize, usize, usize) {
-        self.part.as_ref().map_or((0, 0, 0), |part| part.keeper.load())
+        self.current.as_ref().map_or((0, 0, 0), |current| current.keeper.load())
     }
 
     /// Number of own requests in flight, including inherited ones.
     pub fn held(&self) -> usize {
-        self.part.as_ref().map_or(0, |part| part.owner.held())
+        self.current.as_ref().map_or(0, |current| current.owner.held())
     }
 
     /// The record of a request in flight.
     pub fn record(&self, seq: u64) -> Option<&Record> {
-        self.part.as_ref()?.owner.record(seq)
+        self.current.as_ref()?.owner.record(seq)
     }
 
     /// Handles a change of this process's life or of the enrolled processes.
@@ -149,15 +159,15 @@
                 let Terms { drift, keepers, wait, retention, .. } = self.terms;
                 let owner = Owner::new(life, owner::Terms { keepers, wait });
                 let keeper = Keeper::new(life, keeper::Terms { drift, keepers, retention });
-                self.part = Some(LifeState { life, owner, keeper });
+                self.current = Some(LifeState { life, owner, keeper });
                 self.enrolled(now);
             }
             Turn::Ended(_) => {
-                let Some(part) = self.part.take() else { return };
+                let Some(current) = self.current.take() else { return };
                 self.heirs.clear();
                 self.inherited.clear();
                 self.loopback.clear();
-                self.out.push_back(Output::Over(part.owner.all().collect()));
+                self.outputs.push_back(Output::Over(current.owner.all().collect()));
             }
             Turn::Heir(claim) => self.heir(now, claim),
             Turn::Roll(number, roll, departed) => {
@@ -170,32 +180,34 @@
 
     fn enrolled(&mut self, now: Time) {
         let (number, roll) = self.roll.clone();
-        let Some(part) = self.part.as_mut().filter(|part| roll.contains_key(&part.life)) else { return };
+        let Some(current) = self.current.as_mut().filter(|current| roll.contains_key(&current.life)) else {
+            return;
+        };
         let mut orders = Vec::new();
-        part.keeper.roll(now, roll.clone(), &self.departed);
-        part.owner.roll(now, roll.clone(), &mut orders);
-        let mut say = Vec::new();
+        current.keeper.roll(now, roll.clone(), &self.departed);
+        current.owner.roll(now, roll.clone(), &mut orders);
+        let mut messages = Vec::new();
         for (heir, _) in self.heirs.values_mut() {
-            heir.roll(now, number, &roll, &mut say);
+            heir.roll(now, number, &roll, &mut messages);
         }
         self.carry_out(now, orders);
-        self.send_all(say);
+        self.send_all(messages);
     }
 
     fn heir(&mut self, now: Time, claim: Claim) {
         // Every possible keeper was enrolled when the claim was made, or is in a later list.
         let least = self.roll.0;
         let mut heir = Heir::new(claim.clone(), least, self.terms.drift, self.terms.at_once);
-        let mut say = Vec::new();
-        heir.roll(now, self.roll.0, &self.roll.1.clone(), &mut say);
+        let mut messages = Vec::new();
+        heir.roll(now, self.roll.0, &self.roll.1.clone(), &mut messages);
         self.heirs.insert(claim.epoch, (heir, Outcomes::default()));
-        self.send_all(say);
+        self.send_all(messages);
     }
 
     /// Runs an operation of the owner and carries out its orders. `None` while this process has no life.
-    fn own<R>(&mut self, now: Time, act: impl FnOnce(&mut Owner, &mut Vec<Order>) -> R) -> Option<R> {
-        let (part, mut orders) = (self.part.as_mut()?, Vec::new());
-        let result = act(&mut part.owner, &mut orders);
+    fn with_owner<R>(&mut self, now: Time, act: impl FnOnce(&mut Owner, &mut Vec<Order>) -> R) -> Option<R> {
+        let (current, mut orders) = (self.current.as_mut()?, Vec::new());
+        let result = act(&mut current.owner, &mut orders);
         self.carry_out(now, orders);
         self.deliver_loopback(now);
         Some(result)
@@ -203,43 +215,43 @@
 
     /// Accepts a request. `None` while this process has no life.
     pub fn take(&mut self, now: Time, record: Record, left: Duration, request: Bytes) -> Option<u64> {
-        self.own(now, |owner, orders| owner.take(now, 0, record, left, request, orders))
+        self.with_owner(now, |owner, orders| owner.take(now, 0, record, left, request, orders))
     }
 
     /// Records an attempt, which may be sent once [`Output::Clear`] names the returned step.
     pub fn sending(&mut self, now: Time, seq: u64, sent: Sent) -> Option<u32> {
-        self.own(now, |owner, orders| owner.sending(now, seq, sent, orders))?
+        self.with_owner(now, |owner, orders| owner.sending(now, seq, sent, orders))?
     }
 
     /// Removes an attempt that was not sent, or was rejected without being processed.
     pub fn unsent(&mut self, now: Time, seq: u64, attempt: u32) {
-        self.own(now, |owner, orders| owner.unsent(now, seq, attempt, orders));
+        self.with_owner(now, |owner, orders| owner.unsent(now, seq, attempt, orders));
     }
 
     /// Records the end, which the client may be told once [`Output::Clear`] names the returned step.
     pub fn ended(&mut self, now: Time, seq: u64, end: End) -> Option<u32> {
-        let step = self.part.as_ref()?.owner.record(seq)?.step + 1;
+        let step = self.current.as_ref()?.owner.record(seq)?.step + 1;
         if let Some(inherited) = self.inherited.get_mut(&seq) {
             (inherited.step, inherited.over) = (step, true);
         }
-        self.own(now, |owner, orders| owner.ended(now, seq, end, orders))?
+        self.with_owner(now, |owner, orders| owner.ended(now, seq, end, orders))?
     }
 
     /// Retries a step that no keeper confirmed within the timeout.
     pub fn retry(&mut self, now: Time, seq: u64) {
-        self.own(now, |owner, orders| owner.retry(now, seq, orders));
+        self.with_owner(now, |owner, orders| owner.retry(now, seq, orders));
     }
 
     /// Forgets a request whose client has its answer, or that was refused before any attempt was sent.
     pub fn release(&mut self, seq: u64) {
-        if let Some(part) = &mut self.part {
-            part.owner.release(seq);
+        if let Some(current) = &mut self.current {
+            current.owner.release(seq);
         }
     }
 
     /// Handles a letter of another proxy. Without the right to act it is ignored.
     pub fn hear(&mut self, now: Time, letter: Letter, right: bool) {
-        let for_this_life = self.part.as_ref().is_some_and(|part| part.life == letter.to);
+        let for_this_life = self.current.as_ref().is_some_and(|current| current.life == letter.to);
         if for_this_life && right {
             self.handle_letter(now, letter);
             self.deliver_loopback(now);
@@ -253,60 +265,60 @@
     }
 
     fn handle_letter(&mut self, now: Time, letter: Letter) {
-        let Some(part) = self.part.as_mut().filter(|part| part.keeper.is_ready()) else { return };
+        let Some(current) = self.current.as_mut().filter(|current| current.keeper.is_ready()) else { return };
         let (from, mut orders) = (letter.from, Vec::new());
-        match letter.word {
+        match letter.message {
             Message::Keep(keep) => {
                 let (seq, step) = (keep.seq, keep.record.step);
-                let (verdict, also) = part.keeper.keep(now, *keep);
-                self.send(from, Message::KeepReply(KeepReply { seq, step, verdict, also }));
+                let (verdict, ask_also) = current.keeper.keep(now, *keep);
+                self.send(from, Message::KeepReply(KeepReply { seq, step, verdict, ask_also }));
             }
             Message::Find(number, identity, content) => {
-                let (verdict, also) = part.keeper.find(now, identity, content);
-                self.send(from, Message::FindReply(number, verdict, also));
+                let (verdict, ask_also) = current.keeper.find(now, identity, content);
+                self.send(from, Message::FindReply(number, verdict, ask_also));
             }
             Message::QueryOrphans(number, claim, after) => {
-                let (all, more) = part.keeper.orphans_page(now, &claim, after);
+                let (all, more) = current.keeper.orphans_page(now, &claim, after);
                 self.send(from, Message::Orphans(number, claim.epoch, all, more));
             }
-            Message::KeepReply(heard) => part.owner.kept(now, from, heard, &mut orders),
-            Message::FindReply(seq, verdict, also) => {
-                part.owner.found(now, from, seq, verdict, &also, &mut orders)
+            Message::KeepReply(reply) => current.owner.handle_keep_reply(now, from, reply, &mut orders),
+            Message::FindReply(seq, verdict, ask_also) => {
+                current.owner.handle_find_reply(now, from, seq, verdict, &ask_also, &mut orders)
             }
             Message::Orphans(number, epoch, all, more) => {
-                let mut say = Vec::new();
+                let mut messages = Vec::new();
                 if let Some((heir, _)) = self.heirs.get_mut(&epoch) {
-                    heir.left(now, from, number, all, more, &mut say);
+                    heir.add_page(now, from, number, all, more, &mut messages);
                 }
-                self.send_all(say);
+                self.send_all(messages);
             }
         }
         self.carry_out(now, orders);
         self.resume_inherited(now);
     }
 
-    fn send(&mut self, to: Life, word: Message) {
-        let Some(from) = self.part.as_ref().map(|part| part.life) else { return };
-        let letter = Letter { from, to, word };
+    fn send(&mut self, to: Life, message: Message) {
+        let Some(from) = self.current.as_ref().map(|current| current.life) else { return };
+        let letter = Letter { from, to, message };
         if from == to {
             self.loopback.push_back(letter);
         } else if let Some(who) = self.roll.1.get(&to) {
-            self.out.push_back(Output::Say(who.name.clone(), letter));
+            self.outputs.push_back(Output::Say(who.name.clone(), letter));
         }
     }
 
     fn send_all(&mut self, all: Vec<(Life, Message)>) {
-        all.into_iter().for_each(|(to, word)| self.send(to, word));
+        all.into_iter().for_each(|(to, message)| self.send(to, message));
     }
 
     fn carry_out(&mut self, now: Time, orders: Vec<Order>) {
         for order in orders {
             match order {
-                Order::Send(to, word) => self.send(to, word),
+                Order::Send(to, message) => self.send(to, message),
                 Order::Clear(seq, step) if self.inherited.contains_key(&seq) => self.cleared(seq, step),
-                Order::Clear(seq, step) => self.out.push_back(Output::Clear(seq, step)),
+                Order::Clear(seq, step) => self.outputs.push_back(Output::Clear(seq, step)),
                 Order::Stop(seq, why) if self.inherited.contains_key(&seq) => self.stopped(now, seq, why),
-                Order::Stop(seq, why) => self.out.push_back(Output::Stop(seq, why)),
+                Order::Stop(seq, why) => self.outputs.push_back(Output::Stop(seq, why)),
             }
         }
     }
@@ -314,22 +326,22 @@
     /// All keepers have stored a step of an inherited request.
     fn cleared(&mut self, seq: u64, step: u32) {
         let Some(inherited) = self.inherited.get_mut(&seq).filter(|i| i.step <= step) else {
-            return self.out.push_back(Output::Clear(seq, step));
+            return self.outputs.push_back(Output::Clear(seq, step));
         };
         if inherited.over {
-            self.out.push_back(Output::Clear(seq, step));
+            self.outputs.push_back(Output::Clear(seq, step));
             return self.finish(seq);
         }
         if std::mem::replace(&mut inherited.begun, true) {
-            return self.out.push_back(Output::Clear(seq, step));
+            return self.outputs.push_back(Output::Clear(seq, step));
         }
         let (request, plan) = (inherited.request.clone(), inherited.plan.clone());
-        let Some(part) = &self.part else { return };
-        let (Some(record), Some(deadline)) = (part.owner.record(seq), part.owner.deadline(seq)) else {
+        let Some(current) = &self.current else { return };
+        let (Some(record), Some(deadline)) = (current.owner.record(seq), current.owner.deadline(seq)) else {
             return;
         };
         let begun = Begun { seq, record: record.clone(), request, deadline, plan };
-        self.out.push_back(Output::Begin(Box::new(begun)));
+        self.outputs.push_back(Output::Begin(Box::new(begun)));
     }
 
     /// An inherited request can't continue: it is retried or dropped, depending on the reason.
@@ -337,16 +349,17 @@
         match why {
             Why::NoKeeper | Why::Full => {
                 if let Some(inherited) = self.inherited.get_mut(&seq) {
-                    inherited.again = Some(now + RESEND_INTERVAL);
+                    inherited.retry_at = Some(now + RESEND_INTERVAL);
                 }
             }
             // Another process has it by now, or it has ended.
             _ => {
-                if let Some((_, count)) = self.inherited.get(&seq).and_then(|i| self.heirs.get_mut(&i.epoch))
+                if let Some((_, outcomes)) =
+                    self.inherited.get(&seq).and_then(|i| self.heirs.get_mut(&i.epoch))
                 {
-                    count.met += 1;
+                    outcomes.handled_elsewhere += 1;
                 }
-                self.out.push_back(Output::Stop(seq, why));
+                self.outputs.push_back(Output::Stop(seq, why));
                 self.finish(seq);
             }
         }
@@ -363,8 +376,8 @@
     /// Resumes inherited requests up to the concurrency limit.
     fn resume_inherited(&mut self, now: Time) {
         let mut orders = Vec::new();
-        for (epoch, (heir, count)) in &mut self.heirs {
-            let Some(part) = &mut self.part else { return };
+        for (epoch, (heir, outcomes)) in &mut self.heirs {
+            let Some(current) = &mut self.current else { return };
             while let Some(next) = heir.next(now) {
                 let (record, request, plan) = (next.known.record, next.request, next.plan);
                 if plan == Plan::Tell {
@@ -377,10 +390,10 @@
                     _ => None,
                 };
                 *match &end {
-                    Some(End::Unknown) => &mut count.unknown,
-                    Some(_) => &mut count.refused,
-                    None if record.sent.is_empty() => &mut count.sent,
-                    None => &mut count.again,
+                    Some(End::Unknown) => &mut outcomes.unknown,
+                    Some(_) => &mut outcomes.refused,
+                    None if record.sent.is_empty() => &mut outcomes.sent,
+                    None => &mut outcomes.repeated,
                 } += 1;
                 // The first keeper has the steps so far under the ended process: this is the next step.
                 let record = Record { step: record.step + 1, ..record };
@@ -389,9 +402,9 @@
                     None => record,
                 };
                 let (step, over) = (record.step, end.is_some());
-                let seq = part.owner.take(now, *epoch, record, left, request.clone(), &mut orders);
+                let seq = current.owner.take(now, *epoch, record, left, request.clone(), &mut orders);
                 let inherited =
-                    Inherited { epoch: *epoch, request, plan, again: None, step, begun: false, over };
+                    Inherited { epoch: *epoch, request, plan, retry_at: None, step, begun: false, over };
                 self.inherited.insert(seq, inherited);
             }
         }
@@ -403,39 +416,39 @@
         let done: Vec<Epoch> =
             self.heirs.iter().filter(|(_, (heir, _))| heir.is_settled()).map(|(epoch, _)| *epoch).collect();
         for epoch in done {
-            let Some((heir, count)) = self.heirs.remove(&epoch) else { continue };
-            let Outcomes { sent, again, unknown, refused, met } = count;
-            self.out.push_back(Output::Note(format!(
-                "takeover from '{}' finished: {} requests inherited: {sent} sent, {again} repeated, {unknown} unknown, \
-                 {refused} refused, {met} already handled elsewhere",
+            let Some((heir, outcomes)) = self.heirs.remove(&epoch) else { continue };
+            let Outcomes { sent, repeated, unknown, refused, handled_elsewhere } = outcomes;
+            self.outputs.push_back(Output::Note(format!(
+                "takeover from '{}' finished: {} requests inherited: {sent} sent, {repeated} repeated, {unknown} unknown, \
+                 {refused} refused, {handled_elsewhere} already handled elsewhere",
                 heir.claim().name, heir.inherited()
             )));
-            self.out.push_back(Output::Settled(epoch));
+            self.outputs.push_back(Output::Settled(epoch));
         }
     }
 
     /// The time of the next timer.
     pub fn next_due(&self) -> Option<Time> {
-        let part = self.part.as_ref()?;
+        let current = self.current.as_ref()?;
         let heirs = self.heirs.values().filter_map(|(heir, _)| heir.next_due());
-        let again = self.inherited.values().filter_map(|i| i.again);
-        heirs.chain(again).chain(part.owner.next_due()).chain([self.expiry_check_at]).min()
+        let retries = self.inherited.values().filter_map(|i| i.retry_at);
+        heirs.chain(retries).chain(current.owner.next_due()).chain([self.expiry_check_at]).min()
     }
 
     /// Runs the timers that are due.
     pub fn fire(&mut self, now: Time) {
-        let (mut orders, mut say) = (Vec::new(), Vec::new());
-        let Some(part) = &mut self.part else { return };
-        part.owner.fire(now, &mut orders);
+        let (mut orders, mut messages) = (Vec::new(), Vec::new());
+        let Some(current) = &mut self.current else { return };
+        current.owner.fire(now, &mut orders);
         if now >= self.expiry_check_at {
             self.expiry_check_at = now + EXPIRY_CHECK_INTERVAL;
-            part.keeper.fire(now);
+            current.keeper.fire(now);
         }
         for (heir, _) in self.heirs.values_mut() {
-            heir.fire(now, &mut say);
+            heir.fire(now, &mut messages);
         }
         self.carry_out(now, orders);
-        self.send_all(say);
+        self.send_all(messages);
         self.deliver_loopback(now);
         self.retry_inherited(now);
         self.resume_inherited(now);
@@ -444,7 +457,7 @@
 
     /// Retries inherited requests for which no keeper was available.
     fn retry_inherited(&mut self, now: Time) {
-        let due = |i: &mut Inherited| i.again.take_if(|at| *at <= now).is_some();
+        let due = |i: &mut Inherited| i.retry_at.take_if(|at| *at <= now).is_some();
         let all: Vec<u64> = self.inherited.iter_mut().filter_map(|(seq, i)| due(i).then_some(*seq)).collect();
         all.into_iter().for_each(|seq| self.retry(now, seq));
     }
--- a/crates/sandgap-takeover/src/heir.rs
+++ b/crates/sandgap-takeover/src/heir.rs
@@ -38,7 +38,7 @@
 pub struct Heir {
     claim: Claim,
     drift: Drift,
-    asked: BTreeMap<Life, Query>,
+    queries: BTreeMap<Life, Query>,
     /// Minimum version of the list of enrolled processes: from there on it includes every possible keeper.
     min_roll_version: u64,
     /// Number of the last query sent; 0 before the first.
@@ -58,7 +58,7 @@
         Heir {
             claim,
             drift,
-            asked: BTreeMap::new(),
+            queries: BTreeMap::new(),
             min_roll_version,
             last_query: 0,
             seen: BTreeSet::new(),
@@ -81,36 +81,36 @@
 
     /// Handles a list of enrolled processes: the first one is queried completely, and later ones remove ended processes
     /// from the pending queries. Processes that join later keep none of these requests.
-    pub fn roll(&mut self, now: Time, number: u64, roll: &Roll, say: &mut Vec<(Life, Message)>) {
+    pub fn roll(&mut self, now: Time, number: u64, roll: &Roll, messages: &mut Vec<(Life, Message)>) {
         if number < self.min_roll_version {
             return;
         }
         if self.last_query == 0 {
             for life in roll.keys() {
-                self.ask(now, *life, None, say);
+                self.ask(now, *life, None, messages);
             }
         }
-        self.asked.retain(|life, _| roll.contains_key(life));
+        self.queries.retain(|life, _| roll.contains_key(life));
     }
 
-    fn ask(&mut self, now: Time, life: Life, after: Option<Identity>, say: &mut Vec<(Life, Message)>) {
+    fn ask(&mut self, now: Time, life: Life, after: Option<Identity>, messages: &mut Vec<(Life, Message)>) {
         self.last_query += 1;
         let number = self.last_query;
-        self.asked.insert(life, Query { after, since: now, resend_at: now + RESEND_INTERVAL, number });
-        say.push((life, Message::QueryOrphans(number, self.claim.clone(), after)));
+        self.queries.insert(life, Query { after, since: now, resend_at: now + RESEND_INTERVAL, number });
+        messages.push((life, Message::QueryOrphans(number, self.claim.clone(), after)));
     }
 
     /// Handles a page of requests. The first copy of each request suffices: every keeper's copy covers all that may have
     /// happened.
-    pub fn left(
+    pub fn add_page(
         &mut self, now: Time, from: Life, number: u64, all: Vec<Orphan>, more: bool,
-        say: &mut Vec<(Life, Message)>,
+        messages: &mut Vec<(Life, Message)>,
     ) {
-        let Some(asked) = self.asked.get(&from).filter(|a| a.number == number) else { return };
-        let since = asked.since;
+        let Some(query) = self.queries.get(&from).filter(|a| a.number == number) else { return };
+        let since = query.since;
         let last = all.last().map(|r| r.record.identity);
         for orphan in all {
-            let Orphan { record, left, doubtful, window, request } = orphan;
+            let Orphan { record, left, unverified, window, request } = orphan;
             let identity = record.identity;
             if !self.seen.insert(identity) {
                 continue;
@@ -119,11 +119,11 @@
             let until = window.map(|window| since + self.drift.at_most(window));
             let known = Known { record, deadline: now + left, until };
             self.waiting.push(Reverse((known.deadline, identity)));
-            self.held.insert(identity, (known, request, doubtful));
+            self.held.insert(identity, (known, request, unverified));
         }
         match last.filter(|_| more) {
-            Some(last) => self.ask(now, from, Some(last), say),
-            None => drop(self.asked.remove(&from)),
+            Some(last) => self.ask(now, from, Some(last), messages),
+            None => drop(self.queries.remove(&from)),
         }
     }
 
@@ -134,10 +134,10 @@
             return None;
         }
         let Reverse((_, identity)) = self.waiting.pop()?;
-        let (known, request, doubtful) = self.held.remove(&identity)?;
+        let (known, request, unverified) = self.held.remove(&identity)?;
         self.in_progress += 1;
         // No attempt was sent, and another process may have the request: the client's retry will find it.
-        let plan = if doubtful { Plan::End(End::Refused) } else { known.plan(now) };
+        let plan = if unverified { Plan::End(End::Refused) } else { known.plan(now) };
         Some(Inherited { known, request, plan })
     }
 
@@ -148,27 +148,27 @@
 
     /// Whether all requests have been collected and have ended.
     pub fn is_settled(&self) -> bool {
-        self.last_query > 0 && self.asked.is_empty() && self.waiting.is_empty() && self.in_progress == 0
+        self.last_query > 0 && self.queries.is_empty() && self.waiting.is_empty() && self.in_progress == 0
     }
 
     /// Processes that have not replied completely.
     pub fn missing(&self) -> impl Iterator<Item = &Life> {
-        self.asked.keys()
+        self.queries.keys()
     }
 
     /// The time of the next timer.
     pub fn next_due(&self) -> Option<Time> {
-        self.asked.values().map(|a| a.resend_at).min()
+        self.queries.values().map(|a| a.resend_at).min()
     }
 
     /// Resends queries without a reply.
-    pub fn fire(&mut self, now: Time, say: &mut Vec<(Life, Message)>) {
-        for (life, asked) in &mut self.asked {
-            if asked.resend_at <= now {
+    pub fn fire(&mut self, now: Time, messages: &mut Vec<(Life, Message)>) {
+        for (life, query) in &mut self.queries {
+            if query.resend_at <= now {
                 // With backoff: an unreachable process is queried until it is fenced itself.
-                let waited = now.saturating_sub(asked.since);
-                asked.resend_at = now + waited.clamp(RESEND_INTERVAL, Duration::from_millis(250));
-                say.push((*life, Message::QueryOrphans(asked.number, self.claim.clone(), asked.after)));
+                let waited = now.saturating_sub(query.since);
+                query.resend_at = now + waited.clamp(RESEND_INTERVAL, Duration::from_millis(250));
+                messages.push((*life, Message::QueryOrphans(query.number, self.claim.clone(), query.after)));
             }
         }
     }
@@ -188,11 +188,11 @@
         let record = Record { identity: Identity::of(None, "book", &n.to_string()), ..record(effect) };
         let record = if out { record.sending(sent(0)).expect("room") } else { record };
         let window = out.then(|| ms(800));
-        Orphan { record, left: ms(left), doubtful: false, window, request: Bytes::from(&b"r"[..]) }
+        Orphan { record, left: ms(left), unverified: false, window, request: Bytes::from(&b"r"[..]) }
     }
 
-    fn number(word: &Message) -> u64 {
-        match word {
+    fn number(message: &Message) -> u64 {
+        match message {
             Message::QueryOrphans(number, ..) => *number,
             other => panic!("{other:?}"),
         }
@@ -200,34 +200,34 @@
 
     #[test]
     fn all_processes_of_a_new_enough_list_are_queried_until_they_reply() {
-        let (mut heir, mut say) = (heir(), Vec::new());
-        heir.roll(ms(0), 4, &roll(&[1, 2]), &mut say);
-        assert!(say.is_empty() && !heir.is_settled(), "a keeper may be missing from an old list");
-        heir.roll(ms(1), 5, &roll(&[1, 2, 3]), &mut say);
-        assert_eq!(say.len(), 3);
-        let first = number(&say[0].1);
-        heir.left(ms(2), 1, first, vec![], false, &mut say);
-        say.clear();
-        heir.fire(ms(30), &mut say);
-        assert_eq!(say.iter().map(|(life, _)| *life).collect::<Vec<_>>(), [2, 3]);
-        heir.roll(ms(40), 6, &roll(&[1, 3, 9]), &mut say);
+        let (mut heir, mut messages) = (heir(), Vec::new());
+        heir.roll(ms(0), 4, &roll(&[1, 2]), &mut messages);
+        assert!(messages.is_empty() && !heir.is_settled(), "a keeper may be missing from an old list");
+        heir.roll(ms(1), 5, &roll(&[1, 2, 3]), &mut messages);
+        assert_eq!(messages.len(), 3);
+        let first = number(&messages[0].1);
+        heir.add_page(ms(2), 1, first, vec![], false, &mut messages);
+        messages.clear();
+        heir.fire(ms(30), &mut messages);
+        assert_eq!(messages.iter().map(|(life, _)| *life).collect::<Vec<_>>(), [2, 3]);
+        heir.roll(ms(40), 6, &roll(&[1, 3, 9]), &mut messages);
         assert_eq!(heir.missing().collect::<Vec<_>>(), [&3], "2 has ended, and 9 joined later");
-        let last = number(&say.iter().find(|(life, _)| *life == 3).expect("asked").1);
-        heir.left(ms(50), 3, last, vec![], false, &mut say);
+        let last = number(&messages.iter().find(|(life, _)| *life == 3).expect("asked").1);
+        heir.add_page(ms(50), 3, last, vec![], false, &mut messages);
         assert!(heir.is_settled());
     }
 
     #[test]
     fn each_request_is_resumed_once_by_deadline_within_the_limit() {
-        let (mut heir, mut say) = (heir(), Vec::new());
-        heir.roll(ms(0), 5, &roll(&[1, 2]), &mut say);
-        let numbers: Vec<u64> = say.iter().map(|(_, word)| number(word)).collect();
+        let (mut heir, mut messages) = (heir(), Vec::new());
+        heir.roll(ms(0), 5, &roll(&[1, 2]), &mut messages);
+        let numbers: Vec<u64> = messages.iter().map(|(_, message)| number(message)).collect();
         let part = vec![orphan(1, Effect::Safe, false, 900), orphan(2, Effect::Safe, false, 300)];
-        heir.left(ms(10), 1, numbers[0], part.clone(), true, &mut say);
-        heir.left(ms(10), 1, numbers[0], part.clone(), true, &mut say);
-        heir.left(ms(11), 2, numbers[1], part, false, &mut say);
-        let more = number(&say.last().expect("asked on").1);
-        heir.left(ms(12), 1, more, vec![orphan(3, Effect::Unsafe, true, 600)], false, &mut say);
+        heir.add_page(ms(10), 1, numbers[0], part.clone(), true, &mut messages);
+        heir.add_page(ms(10), 1, numbers[0], part.clone(), true, &mut messages);
+        heir.add_page(ms(11), 2, numbers[1], part, false, &mut messages);
+        let more = number(&messages.last().expect("asked on").1);
+        heir.add_page(ms(12), 1, more, vec![orphan(3, Effect::Unsafe, true, 600)], false, &mut messages);
         assert_eq!(heir.inherited(), 3);
         let order: Vec<Plan> =
             [heir.next(ms(20)), heir.next(ms(20))].into_iter().flatten().map(|i| i.plan).collect();
@@ -242,10 +242,10 @@
 
     #[test]
     fn window_is_counted_from_the_query() {
-        let (mut heir, mut say) = (heir(), Vec::new());
-        heir.roll(ms(0), 5, &roll(&[1]), &mut say);
-        let number = number(&say[0].1);
-        heir.left(ms(500), 1, number, vec![orphan(1, Effect::Keyed, true, 5000)], false, &mut say);
+        let (mut heir, mut messages) = (heir(), Vec::new());
+        heir.roll(ms(0), 5, &roll(&[1]), &mut messages);
+        let number = number(&messages[0].1);
+        heir.add_page(ms(500), 1, number, vec![orphan(1, Effect::Keyed, true, 5000)], false, &mut messages);
         assert_eq!(heir.next(ms(510)).expect("one").plan, Plan::Again(ms(800)));
     }
 }
--- a/crates/sandgap-takeover/src/identity.rs
+++ b/crates/sandgap-takeover/src/identity.rs
@@ -77,11 +77,11 @@
     use super::*;
 
     fn roll(lives: &[(Life, &str)]) -> BTreeMap<Life, Enrolled> {
-        let one = |(life, zone): &(Life, &str)| {
-            let who = Enrolled { draw: *life, name: format!("p{life}"), zone: Some((*zone).to_owned()) };
-            (*life, who)
+        let entry = |(life, zone): &(Life, &str)| {
+            let enrolled = Enrolled { draw: *life, name: format!("p{life}"), zone: Some((*zone).to_owned()) };
+            (*life, enrolled)
         };
-        lives.iter().map(one).collect()
+        lives.iter().map(entry).collect()
     }
 
     #[test]
--- a/crates/sandgap-takeover/src/keeper.rs
+++ b/crates/sandgap-takeover/src/keeper.rs
@@ -37,7 +37,7 @@
     known: Known,
     request: Bytes,
     /// Another process has to be asked first, and no later step has shown that this was done.
-    doubtful: bool,
+    unverified: bool,
     /// When the entry may be removed.
     expires: Time,
     /// Bytes accounted to the entry.
@@ -79,7 +79,7 @@
     /// Processes that the last list named as ended.
     departed: BTreeSet<Life>,
     /// Processes that an heir has taken over from: their steps are refused.
-    followed: BTreeMap<Life, Epoch>,
+    superseded: BTreeMap<Life, Epoch>,
 }
 
 impl Keeper {
@@ -98,7 +98,7 @@
             since: BTreeMap::new(),
             lost: BTreeMap::new(),
             departed: BTreeSet::new(),
-            followed: BTreeMap::new(),
+            superseded: BTreeMap::new(),
         }
     }
 
@@ -135,22 +135,22 @@
 
     /// Stores a step. Returns the verdict and the processes that have to be asked before the step counts.
     pub fn keep(&mut self, now: Time, keep: Keep) -> (Verdict, Vec<Life>) {
-        if let Some(epoch) = self.followed.get(&keep.actor.life) {
+        if let Some(epoch) = self.superseded.get(&keep.actor.life) {
             return (Verdict::Superseded(*epoch), Vec::new());
         }
         let identity = keep.record.identity;
         match self.kept.get(&identity) {
             Some(kept) if kept.known.record.content != keep.record.content => (Verdict::Differs, Vec::new()),
             Some(kept) if (kept.actor, kept.seq) == (keep.actor, keep.seq) => {
-                let again = kept.doubtful && keep.fresh;
+                let again = kept.unverified && keep.fresh;
                 self.advance(now, keep);
                 if !again {
                     return (Verdict::Kept, Vec::new());
                 }
                 // The reply was lost, or a process that had to be asked has ended.
                 match self.who_knows(now, identity) {
-                    Ok(also) => (Verdict::Kept, also),
-                    Err(blind) => (Verdict::Indeterminate(blind), Vec::new()),
+                    Ok(ask_also) => (Verdict::Kept, ask_also),
+                    Err(unknown_for) => (Verdict::Indeterminate(unknown_for), Vec::new()),
                 }
             }
             // The refused request never ran and never will, so its client may retry. Other processes still have to be
@@ -164,7 +164,7 @@
                     return (Verdict::Ended(end.clone()), Vec::new());
                 }
                 // Only an heir of the acting process may replace it; no other process may, whatever its epoch.
-                let ended = self.followed.contains_key(&kept.actor.life);
+                let ended = self.superseded.contains_key(&kept.actor.life);
                 if !ended || keep.actor.epoch <= kept.actor.epoch {
                     return (Verdict::Held(kept.actor), Vec::new());
                 }
@@ -186,10 +186,10 @@
         let who =
             if first && keep.fresh { self.who_knows(now, keep.record.identity) } else { Ok(Vec::new()) };
         match who {
-            Err(blind) => (Verdict::Indeterminate(blind), Vec::new()),
-            Ok(also) => {
-                self.insert(now, keep, request, !also.is_empty());
-                (Verdict::Kept, also)
+            Err(unknown_for) => (Verdict::Indeterminate(unknown_for), Vec::new()),
+            Ok(ask_also) => {
+                self.insert(now, keep, request, !ask_also.is_empty());
+                (Verdict::Kept, ask_also)
             }
         }
     }
@@ -218,12 +218,12 @@
         if open { &mut self.open } else { &mut self.ended }
     }
 
-    fn insert(&mut self, now: Time, keep: Keep, request: Bytes, doubtful: bool) {
+    fn insert(&mut self, now: Time, keep: Keep, request: Bytes, unverified: bool) {
         let Keep { actor, seq, record, left, .. } = keep;
         let known = Known::new(now, record, left, self.terms.drift);
         let expires = self.expiry(now, &known);
         let identity = known.record.identity;
-        let mut kept = Kept { actor, seq, known, request, doubtful, expires, bytes: 0 };
+        let mut kept = Kept { actor, seq, known, request, unverified, expires, bytes: 0 };
         kept.bytes = kept.size_bytes();
         self.bytes += kept.bytes;
         *self.owners.entry(actor.life).or_default() += 1;
@@ -242,7 +242,7 @@
         let (drift, identity) = (self.terms.drift, keep.record.identity);
         let Some(mut kept) = self.kept.remove(&identity) else { return };
         let (was_open, expired) = (kept.open(), kept.expires);
-        kept.doubtful &= keep.fresh;
+        kept.unverified &= keep.fresh;
         if kept.known.advance(now, keep.record, drift) {
             if !kept.open() {
                 kept.request = Bytes::from([]); // it is not sent again
@@ -289,8 +289,8 @@
                 (Some(end.map_or(Verdict::Held(kept.actor), Verdict::Ended)), Vec::new())
             }
             _ => match self.who_knows(now, identity) {
-                Ok(also) => (None, also),
-                Err(blind) => (Some(Verdict::Indeterminate(blind)), Vec::new()),
+                Ok(ask_also) => (None, ask_also),
+                Err(unknown_for) => (Some(Verdict::Indeterminate(unknown_for)), Vec::new()),
             },
         }
     }
@@ -306,7 +306,7 @@
             Some(None) => true,
             None => false,
         };
-        let (mut also, mut gone) = (Vec::new(), 0);
+        let (mut ask_also, mut gone) = (Vec::new(), 0);
         for life in identity.rank(self.roll.keys().chain(self.lost.keys())) {
             if let Some((who, at)) = self.lost.get(&life) {
                 let left = (*at + self.terms.retention).saturating_sub(now);
@@ -322,32 +322,32 @@
                 let co_keepers = keepers(identity, &former_roll, 0, self.terms.keepers);
                 match co_keepers.into_iter().find(|other| *other != life && settled(other)) {
                     Some(other) if other == self.me => {}
-                    Some(other) => also.push(other),
+                    Some(other) => ask_also.push(other),
                     None => return Err(left),
                 }
             } else {
                 if life != self.me {
-                    also.push(life);
+                    ask_also.push(life);
                 }
                 if settled(&life) {
                     break;
                 }
             }
         }
-        also.sort_unstable();
-        also.dedup();
-        also.truncate(MAX_ASKED_LIVES);
-        Ok(also)
+        ask_also.sort_unstable();
+        ask_also.dedup();
+        ask_also.truncate(MAX_ASKED_LIVES);
+        Ok(ask_also)
     }
 
     /// Returns one page of the unfinished requests of an ended process to its heir; from then on, steps of that process
     /// are refused. Each page starts after the last identity of the previous one.
     pub fn orphans_page(&mut self, now: Time, claim: &Claim, after: Option<Identity>) -> (Vec<Orphan>, bool) {
-        let followed = self.followed.entry(claim.life).or_insert(claim.epoch);
-        if claim.epoch < *followed {
+        let superseded = self.superseded.entry(claim.life).or_insert(claim.epoch);
+        if claim.epoch < *superseded {
             return (Vec::new(), false); // a later heir has taken over from this heir
         }
-        *followed = claim.epoch;
+        *superseded = claim.epoch;
         let left = |(_, kept): &(&Identity, &Kept)| kept.actor.life == claim.life && kept.open();
         let mut all: Vec<(&Identity, &Kept)> = self.kept.iter().filter(left).collect();
         all.sort_unstable_by_key(|(identity, _)| **identity);
@@ -363,7 +363,7 @@
             page.push(Orphan {
                 record: kept.known.record.clone(),
                 left: kept.known.deadline.saturating_sub(now),
-                doubtful: kept.doubtful,
+                unverified: kept.unverified,
                 window: kept.known.until.map(|until| until.saturating_sub(now)),
                 request: kept.request.clone(),
             });
@@ -511,9 +511,9 @@
         k.roll(ms(100), roll(&[2, 3]), &Roll::default());
         let mut seen = [0; 2];
         for r in identities.iter().filter(|r| keepers(r.identity, &roll(&[2, 3]), 0, 1)[0] == ME) {
-            let (found, also) = k.find(ms(200), r.identity, r.content);
+            let (found, ask_also) = k.find(ms(200), r.identity, r.content);
             match was_mine(r) {
-                ME => assert_eq!((found, also), (None, vec![])),
+                ME => assert_eq!((found, ask_also), (None, vec![])),
                 1 => {
                     assert_eq!(found, Some(Verdict::Indeterminate(ms(4900))), "the only keeper was lost");
                     seen[0] += 1;
@@ -553,15 +553,15 @@
         k.roll(ms(0), roll(&[1, 2, 3, 4]), &Roll::default());
         k.since = [1, 2, 3, 4].map(|life| (life, None)).into(); // all were enrolled long ago
         k.roll(ms(100), roll(&[2, 3]), &roll(&[1, 4]));
-        let mut blind = 0;
+        let mut unknown_for = 0;
         for n in 0..200 {
             let identity = Identity::of(None, "book", &n.to_string());
             let (found, _) = k.find(ms(200), identity, Content::default());
             let both = keepers(identity, &roll(&[1, 2, 3, 4]), 0, 2).iter().all(|life| [1, 4].contains(life));
             assert_eq!(found.is_some(), both, "{found:?}");
-            blind += usize::from(both);
+            unknown_for += usize::from(both);
         }
-        assert!((10..70).contains(&blind), "{blind}");
+        assert!((10..70).contains(&unknown_for), "{unknown_for}");
     }
 
     #[test]
--- a/crates/sandgap-takeover/src/owner.rs
+++ b/crates/sandgap-takeover/src/owner.rs
@@ -104,24 +104,24 @@
     life: Life,
     terms: Terms,
     roll: Roll,
-    own: BTreeMap<u64, InFlight>,
+    requests: BTreeMap<u64, InFlight>,
     next: u64,
 }
 
 impl Owner {
     /// Creates an owner without requests.
     pub fn new(life: Life, terms: Terms) -> Self {
-        Owner { life, terms, roll: Roll::default(), own: BTreeMap::new(), next: 1 }
+        Owner { life, terms, roll: Roll::default(), requests: BTreeMap::new(), next: 1 }
     }
 
     /// Number of requests in flight.
     pub fn held(&self) -> usize {
-        self.own.len()
+        self.requests.len()
     }
 
     /// The record of a request.
     pub fn record(&self, seq: u64) -> Option<&Record> {
-        self.own.get(&seq).map(|own| &own.record)
+        self.requests.get(&seq).map(|own| &own.record)
     }
 
     /// Accepts a request with its `record` at step 0; its keepers are chosen here. An heir accepts an inherited request
@@ -150,14 +150,14 @@
             retried: false,
             joined: None,
         };
-        self.own.insert(seq, own);
+        self.requests.insert(seq, own);
         self.send_step(now, seq, orders);
         seq
     }
 
     /// Records an attempt, which may be sent once [`Order::Clear`] names the returned step.
     pub fn sending(&mut self, now: Time, seq: u64, sent: Sent, orders: &mut Vec<Order>) -> Option<u32> {
-        let next = self.own.get(&seq)?.record.sending(sent);
+        let next = self.requests.get(&seq)?.record.sending(sent);
         match next {
             Some(record) => Some(self.advance(now, seq, record, orders)),
             None => {
@@ -169,25 +169,25 @@
 
     /// Removes an attempt that was not sent, or was rejected without being processed.
     pub fn unsent(&mut self, now: Time, seq: u64, attempt: u32, orders: &mut Vec<Order>) {
-        if let Some(record) = self.own.get(&seq).map(|own| own.record.unsent(attempt)) {
+        if let Some(record) = self.requests.get(&seq).map(|own| own.record.unsent(attempt)) {
             self.advance(now, seq, record, orders);
         }
     }
 
     /// Records the end, which the client may be told once [`Order::Clear`] names the returned step.
     pub fn ended(&mut self, now: Time, seq: u64, end: End, orders: &mut Vec<Order>) -> Option<u32> {
-        let record = self.own.get(&seq)?.record.ended(end);
+        let record = self.requests.get(&seq)?.record.ended(end);
         Some(self.advance(now, seq, record, orders))
     }
 
     /// Forgets a request; no further message is sent for it.
     pub fn release(&mut self, seq: u64) {
-        self.own.remove(&seq);
+        self.requests.remove(&seq);
     }
 
     fn advance(&mut self, now: Time, seq: u64, record: Record, orders: &mut Vec<Order>) -> u32 {
         let step = record.step;
-        if let Some(own) = self.own.get_mut(&seq) {
+        if let Some(own) = self.requests.get_mut(&seq) {
             own.record = record;
             (own.since, own.stopped) = (now, false);
         }
@@ -197,7 +197,7 @@
 
     /// Sends the current step to the keepers that have not confirmed it.
     fn send_step(&mut self, now: Time, seq: u64, orders: &mut Vec<Order>) {
-        let Some(own) = self.own.get_mut(&seq) else { return };
+        let Some(own) = self.requests.get_mut(&seq) else { return };
         own.resend_at = now + if own.joined.is_some() { JOIN_POLL_INTERVAL } else { RESEND_INTERVAL };
         let others = own.record.keepers.iter().any(|life| *life != self.life);
         if !others {
@@ -214,9 +214,9 @@
         // conclude that the request may be sent.
         let first_confirmed =
             own.record.keepers.first().is_some_and(|first| own.confirmed.contains_key(first));
-        let decided = first_confirmed && own.pending_queries.is_empty();
-        let told = if decided { own.record.keepers.len() } else { 1 };
-        for life in &own.record.keepers[..told] {
+        let all_may_store = first_confirmed && own.pending_queries.is_empty();
+        let recipients = if all_may_store { own.record.keepers.len() } else { 1 };
+        for life in &own.record.keepers[..recipients] {
             if own.confirmed.get(life).is_none_or(|step| *step < own.record.step) {
                 // A keeper that has an earlier step has the request's bytes.
                 let request = (!own.confirmed.contains_key(life)).then(|| own.request.clone());
@@ -234,9 +234,9 @@
     }
 
     /// Handles a keeper's reply to a step.
-    pub fn kept(&mut self, now: Time, from: Life, heard: KeepReply, orders: &mut Vec<Order>) {
-        let KeepReply { seq, step, verdict, also } = heard;
-        let Some(own) = self.own.get_mut(&seq) else { return };
+    pub fn handle_keep_reply(&mut self, now: Time, from: Life, reply: KeepReply, orders: &mut Vec<Order>) {
+        let KeepReply { seq, step, verdict, ask_also } = reply;
+        let Some(own) = self.requests.get_mut(&seq) else { return };
         if !own.record.keepers.contains(&from) {
             return;
         }
@@ -250,7 +250,7 @@
                     own.since = now;
                 }
                 let undecided = own.cleared.is_none();
-                if undecided && self.ask(now, seq, &also, orders) {
+                if undecided && self.ask(now, seq, &ask_also, orders) {
                     return;
                 }
                 if first {
@@ -269,7 +269,7 @@
 
     /// Retries a step that no keeper confirmed within the timeout.
     pub fn retry(&mut self, now: Time, seq: u64, orders: &mut Vec<Order>) {
-        if let Some(own) = self.own.get_mut(&seq) {
+        if let Some(own) = self.requests.get_mut(&seq) {
             (own.since, own.stopped, own.retried) = (now, false, true);
             self.send_step(now, seq, orders);
         }
@@ -277,20 +277,20 @@
 
     /// All requests in flight.
     pub fn all(&self) -> impl Iterator<Item = u64> {
-        self.own.keys().copied()
+        self.requests.keys().copied()
     }
 
     /// The client's deadline of a request.
     pub fn deadline(&self, seq: u64) -> Option<Time> {
-        self.own.get(&seq).map(|own| own.deadline)
+        self.requests.get(&seq).map(|own| own.deadline)
     }
 
     /// Handles another process's reply on whether it knows the identity.
-    pub fn found(
-        &mut self, now: Time, from: Life, seq: u64, verdict: Option<Verdict>, also: &[Life],
+    pub fn handle_find_reply(
+        &mut self, now: Time, from: Life, seq: u64, verdict: Option<Verdict>, ask_also: &[Life],
         orders: &mut Vec<Order>,
     ) {
-        let Some(own) = self.own.get_mut(&seq).filter(|own| own.pending_queries.contains(&from)) else {
+        let Some(own) = self.requests.get_mut(&seq).filter(|own| own.pending_queries.contains(&from)) else {
             return;
         };
         own.pending_queries.retain(|life| *life != from);
@@ -307,8 +307,8 @@
             Some(verdict) => return self.stop(seq, verdict, orders),
             None => {}
         }
-        let asks = self.ask(now, seq, also, orders);
-        let unanswered = self.own.get(&seq).is_some_and(|own| !own.pending_queries.is_empty());
+        let asks = self.ask(now, seq, ask_also, orders);
+        let unanswered = self.requests.get(&seq).is_some_and(|own| !own.pending_queries.is_empty());
         if !asks && !unanswered {
             self.send_step(now, seq, orders);
             self.clear(seq, orders);
@@ -317,7 +317,7 @@
 
     /// Asks the processes that have not been asked yet; returns whether there were any.
     fn ask(&mut self, now: Time, seq: u64, lives: &[Life], orders: &mut Vec<Order>) -> bool {
-        let Some(own) = self.own.get_mut(&seq) else { return false };
+        let Some(own) = self.requests.get_mut(&seq) else { return false };
         let before = own.pending_queries.len();
         for life in lives {
             if !own.confirmed.contains_key(life)
@@ -336,7 +336,7 @@
     }
 
     fn clear(&mut self, seq: u64, orders: &mut Vec<Order>) {
-        let Some(own) = self.own.get_mut(&seq) else { return };
+        let Some(own) = self.requests.get_mut(&seq) else { return };
         if own.is_confirmed() && own.cleared.is_none_or(|step| step < own.record.step) {
             own.cleared = Some(own.record.step);
             own.stopped = false;
@@ -345,7 +345,7 @@
     }
 
     fn stop(&mut self, seq: u64, verdict: Verdict, orders: &mut Vec<Order>) {
-        let Some(own) = self.own.get_mut(&seq).filter(|own| !own.stopped) else { return };
+        let Some(own) = self.requests.get_mut(&seq).filter(|own| !own.stopped) else { return };
         own.stopped = true;
         let why = match verdict {
             Verdict::Full => Why::Full,
@@ -354,7 +354,7 @@
             Verdict::Differs => Why::Differs,
             Verdict::Indeterminate(left) => Why::Blind(left),
             Verdict::Superseded(_) => Why::Over,
-            Verdict::Kept | Verdict::MissingRequest => Why::NoKeeper, // not final verdicts; `kept` handles both
+            Verdict::Kept | Verdict::MissingRequest => Why::NoKeeper, // not final verdicts; `handle_keep_reply` handles both
         };
         orders.push(Order::Stop(seq, why));
     }
@@ -365,7 +365,7 @@
         self.roll = roll;
         let (roll, life, count) = (self.roll.clone(), self.life, self.terms.keepers);
         let mut changed = Vec::new();
-        for (seq, own) in &mut self.own {
+        for (seq, own) in &mut self.requests {
             let lives = |life: &Life| roll.contains_key(life);
             // If a process ended before it replied, the query has to be repeated elsewhere.
             let unanswered = !own.pending_queries.iter().all(lives);
@@ -389,15 +389,15 @@
 
     /// The time of the next timer.
     pub fn next_due(&self) -> Option<Time> {
-        self.own.values().filter(|own| own.is_waiting()).map(|own| own.resend_at).min()
+        self.requests.values().filter(|own| own.is_waiting()).map(|own| own.resend_at).min()
     }
 
     /// Runs the timers that are due.
     pub fn fire(&mut self, now: Time, orders: &mut Vec<Order>) {
         let is_due = |(_, own): &(&u64, &InFlight)| own.resend_at <= now && own.is_waiting();
-        let due: Vec<u64> = self.own.iter().filter(is_due).map(|(seq, _)| *seq).collect();
+        let due: Vec<u64> = self.requests.iter().filter(is_due).map(|(seq, _)| *seq).collect();
         for seq in due {
-            let Some(own) = self.own.get_mut(&seq) else { continue };
+            let Some(own) = self.requests.get_mut(&seq) else { continue };
             let (end, why) = match own.joined {
                 Some(actor) => (own.deadline, Why::Held(actor)),
                 None => (own.since + self.terms.wait, Why::NoKeeper),
@@ -441,10 +441,10 @@
             let mut case = Case::new(&[1, 2, 3, 4], 1);
             let keepers = case.keepers();
             let older = (1..9).find(|life| !keepers.contains(life) && *life != ME).expect("another process");
-            let heard = KeepReply { seq: case.seq, step: 0, verdict: Verdict::Kept, also: vec![older] };
-            case.owner.kept(ms(1), keepers[0], heard, &mut case.orders);
+            let reply = KeepReply { seq: case.seq, step: 0, verdict: Verdict::Kept, ask_also: vec![older] };
+            case.owner.handle_keep_reply(ms(1), keepers[0], reply, &mut case.orders);
             for keeper in &keepers[1..] {
-                case.says(1, *keeper, Verdict::Kept);
+                case.reply(1, *keeper, Verdict::Kept);
             }
             (case, older)
         }
@@ -453,10 +453,10 @@
             self.owner.record(self.seq).expect("held").keepers.clone()
         }
 
-        fn says(&mut self, now: u64, from: Life, verdict: Verdict) {
+        fn reply(&mut self, now: u64, from: Life, verdict: Verdict) {
             let step = self.owner.record(self.seq).expect("held").step;
-            let heard = KeepReply { seq: self.seq, step, verdict, also: vec![] };
-            self.owner.kept(ms(now), from, heard, &mut self.orders);
+            let reply = KeepReply { seq: self.seq, step, verdict, ask_also: vec![] };
+            self.owner.handle_keep_reply(ms(now), from, reply, &mut self.orders);
         }
 
         /// Orders since the last call.
@@ -476,21 +476,25 @@
     fn step_counts_once_all_keepers_have_it() {
         let mut case = Case::new(&[1, 2, 3, 4], 2);
         let keepers = case.keepers();
-        let told = |o: &Order| matches!(o, Order::Send(to, _) if *to == keepers[0]);
-        assert!(case.orders().iter().all(told), "the first keeper decides before others store the record");
-        case.says(1, keepers[0], Verdict::Kept);
+        let to_first_keeper = |o: &Order| matches!(o, Order::Send(to, _) if *to == keepers[0]);
+        assert!(
+            case.orders().iter().all(to_first_keeper),
+            "the first keeper decides before others store the record"
+        );
+        case.reply(1, keepers[0], Verdict::Kept);
         assert_eq!(case.cleared(), None);
-        keepers[1..].iter().for_each(|keeper| case.says(2, *keeper, Verdict::Kept));
+        keepers[1..].iter().for_each(|keeper| case.reply(2, *keeper, Verdict::Kept));
         assert_eq!(case.cleared(), Some(0));
         let step = case.owner.sending(ms(3), case.seq, sent(0), &mut case.orders);
         assert_eq!(step, Some(1));
         // A late reply to the previous step clears nothing.
-        let late = KeepReply { seq: case.seq, step: 0, verdict: Verdict::Kept, also: vec![] };
-        case.owner.kept(ms(4), keepers[0], late, &mut case.orders);
-        let says = |o: &Order| matches!(o, Order::Send(_, Message::Keep(keep)) if keep.request.is_none());
+        let late = KeepReply { seq: case.seq, step: 0, verdict: Verdict::Kept, ask_also: vec![] };
+        case.owner.handle_keep_reply(ms(4), keepers[0], late, &mut case.orders);
+        let sends_step =
+            |o: &Order| matches!(o, Order::Send(_, Message::Keep(keep)) if keep.request.is_none());
         let orders = case.orders();
-        assert_eq!(orders.iter().filter(|o| says(o)).count(), keepers.len(), "{orders:?}");
-        keepers.iter().for_each(|keeper| case.says(5, *keeper, Verdict::Kept));
+        assert_eq!(orders.iter().filter(|o| sends_step(o)).count(), keepers.len(), "{orders:?}");
+        keepers.iter().for_each(|keeper| case.reply(5, *keeper, Verdict::Kept));
         assert_eq!(case.cleared(), Some(1));
         let end = End::Answered(Answer::Whole(200, vec![], vec![]));
         assert_eq!(case.owner.ended(ms(6), case.seq, end, &mut case.orders), Some(2));
@@ -520,10 +524,10 @@
             "{orders:?}"
         );
         let held = Some(Verdict::Held(Actor { epoch: 0, life: 9 }));
-        case.owner.found(ms(2), older, case.seq, held, &[], &mut case.orders);
+        case.owner.handle_find_reply(ms(2), older, case.seq, held, &[], &mut case.orders);
         assert!(case.orders().is_empty(), "it waits for the end of the other request");
         let ended = Some(Verdict::Ended(End::Unknown));
-        case.owner.found(ms(30), older, case.seq, ended, &[], &mut case.orders);
+        case.owner.handle_find_reply(ms(30), older, case.seq, ended, &[], &mut case.orders);
         assert_eq!(case.orders(), [Order::Stop(case.seq, Why::Ended(End::Unknown))]);
     }
 
@@ -531,7 +535,7 @@
     fn request_continues_if_the_asked_process_knows_nothing() {
         let (mut case, older) = Case::with_older();
         assert_eq!(case.cleared(), None);
-        case.owner.found(ms(2), older, case.seq, None, &[], &mut case.orders);
+        case.owner.handle_find_reply(ms(2), older, case.seq, None, &[], &mut case.orders);
         assert_eq!(case.cleared(), Some(0));
     }
 
@@ -550,7 +554,7 @@
         let orders = case.orders();
         let whole = |o: &Order| matches!(o, Order::Send(_, Message::Keep(keep)) if keep.request.is_some());
         assert!(orders.iter().any(whole), "a new keeper gets the request's bytes: {orders:?}");
-        after.iter().for_each(|keeper| case.says(7, *keeper, Verdict::Kept));
+        after.iter().for_each(|keeper| case.reply(7, *keeper, Verdict::Kept));
         assert_eq!(case.cleared(), Some(1));
     }
 
@@ -566,14 +570,14 @@
         let first = case.keepers()[0];
         let held = Actor { epoch: 0, life: 9 };
         case.orders();
-        case.says(1, first, Verdict::Held(held));
+        case.reply(1, first, Verdict::Held(held));
         case.owner.fire(ms(500), &mut case.orders);
         assert!(matches!(case.orders()[..], [Order::Send(to, Message::Keep(_))] if to == first));
-        case.says(501, first, Verdict::Held(held));
-        case.says(530, first, Verdict::Ended(End::Unknown));
+        case.reply(501, first, Verdict::Held(held));
+        case.reply(530, first, Verdict::Ended(End::Unknown));
         assert_eq!(case.orders(), [Order::Stop(case.seq, Why::Ended(End::Unknown))]);
         let mut waiting = Case::new(&[1, 2], 1);
-        waiting.says(1, first, Verdict::Held(held));
+        waiting.reply(1, first, Verdict::Held(held));
         waiting.orders();
         waiting.owner.fire(ms(1000), &mut waiting.orders);
         assert_eq!(waiting.orders(), [Order::Stop(waiting.seq, Why::Held(held))]);
@@ -591,8 +595,8 @@
             let mut case = Case::new(&[1, 2], 1);
             let keeper = case.keepers()[0];
             case.orders();
-            case.says(1, keeper, verdict.clone());
-            case.says(2, keeper, verdict);
+            case.reply(1, keeper, verdict.clone());
+            case.reply(2, keeper, verdict);
             assert_eq!(case.orders(), [Order::Stop(case.seq, why)]);
         }
     }
--- a/crates/sandgap-takeover/src/record.rs
+++ b/crates/sandgap-takeover/src/record.rs
@@ -225,8 +225,8 @@
     }
 
     pub(crate) fn roll(lives: &[Life]) -> Roll {
-        let who = |life: &Life| Enrolled { draw: *life, name: format!("p{life}"), zone: None };
-        Roll::new(lives.iter().map(|life| (*life, who(life))).collect())
+        let enrolled = |life: &Life| Enrolled { draw: *life, name: format!("p{life}"), zone: None };
+        Roll::new(lives.iter().map(|life| (*life, enrolled(life))).collect())
     }
 
     pub(crate) fn record(effect: Effect) -> Record {
--- a/crates/sandgap-takeover/src/words.rs
+++ b/crates/sandgap-takeover/src/words.rs
@@ -69,7 +69,7 @@
     /// The keeper's decision.
     pub verdict: Verdict,
     /// Processes that have to be asked before the step counts.
-    pub also: Vec<Life>,
+    pub ask_also: Vec<Life>,
 }
 
 /// A message between proxies.
@@ -97,7 +97,7 @@
     /// The recipient.
     pub to: Life,
     /// The message.
-    pub word: Message,
+    pub message: Message,
 }
 
 /// An unfinished request of an owner that ended.
@@ -108,7 +108,7 @@
     /// Time left until the client's deadline.
     pub left: Duration,
     /// Another process still had to be asked whether it knows the identity: no attempt was sent.
-    pub doubtful: bool,
+    pub unverified: bool,
     /// Time for which the group is still guaranteed to drop repeats.
     pub window: Option<Duration>,
     /// The bytes of the request.
--- a/crates/sandgap-takeover/tests/model.rs
+++ b/crates/sandgap-takeover/tests/model.rs
@@ -99,7 +99,7 @@
     /// The stored step, and the process that acts for the request.
     keeper: Option<(Stored, usize)>,
     /// Processes whose steps the keeper refuses.
-    followed: [bool; 4],
+    superseded: [bool; 4],
     /// Heirs that have been appointed.
     appointed: [bool; 4],
     /// At the backend: when the request last took effect, and how often it did.
@@ -143,8 +143,8 @@
         };
         let before = if heir == HEIRS[1] { HEIRS[0] } else { OWNER };
         let first = heir == HEIRS[0] || state.appointed[HEIRS[0]];
-        let followed = past(before) || heir == HEIRS[1] && self.defect == Defect::HeirWithoutEpoch;
-        first && past(OWNER) && followed && !state.appointed[heir] && state.procs[heir].fenced.is_none()
+        let superseded = past(before) || heir == HEIRS[1] && self.defect == Defect::HeirWithoutEpoch;
+        first && past(OWNER) && superseded && !state.appointed[heir] && state.procs[heir].fenced.is_none()
     }
 
     fn requested_store(step: Step) -> Option<(Step, Option<Stored>)> {
@@ -159,7 +159,7 @@
 
     /// The keeper stores or refuses a step; `true` if the process may continue.
     fn keep(&self, state: &mut State, p: usize, stored: Stored) -> bool {
-        if state.followed[p] {
+        if state.superseded[p] {
             return false;
         }
         let stored = match (stored, state.keeper) {
@@ -173,7 +173,7 @@
             Some((Stored::Done | Stored::Unknown, actor)) if actor != p => return false,
             Some((_, actor)) if actor == p => {}
             // Only a later heir replaces a process that was taken over.
-            Some((_, actor)) if state.followed[actor] && HEIRS.contains(&p) && p > actor => {}
+            Some((_, actor)) if state.superseded[actor] && HEIRS.contains(&p) && p > actor => {}
             Some(_) if self.defect == Defect::HeirTooSoon => {}
             // Without epochs the keeper can't distinguish heirs.
             Some((_, actor))
@@ -191,7 +191,7 @@
             // Without an epoch the keeper can't recognize a successor, and refuses no process.
             if before != heir && self.defect != Defect::HeirTooSoon && self.defect != Defect::HeirWithoutEpoch
             {
-                state.followed[before] = true;
+                state.superseded[before] = true;
             }
         }
         let mine = |actor: usize| actor == OWNER || actor == HEIRS[0];
@@ -271,7 +271,7 @@
             now: 0,
             procs: [live(LEASE), live(ALWAYS), live(LEASE), live(ALWAYS)],
             keeper: None,
-            followed: [false; 4],
+            superseded: [false; 4],
             appointed: [false; 4],
             ran: None,
             runs: 0,
