--- a/crates/sandgap-takeover/src/heir.rs
+++ b/crates/sandgap-takeover/src/heir.rs
@@ -45,6 +45,7 @@
     last_query: u64,
     seen: BTreeSet<Identity>,
     waiting: BinaryHeap<Reverse<(Time, Identity)>>,
+    /// Collected requests that wait to be resumed: record, request bytes, and whether the request is unverified.
     held: BTreeMap<Identity, (Known, Bytes, bool)>,
     /// Resumed requests that have not ended.
     in_progress: usize,
@@ -79,8 +80,8 @@
         self.seen.len()
     }
 
-    /// Handles a list of enrolled processes: the first one is queried completely, and later ones remove ended processes
-    /// from the pending queries. Processes that join later keep none of these requests.
+    /// Handles a list of enrolled processes: all processes of the first list are queried; later lists remove ended
+    /// processes from the pending queries. Processes that join later keep none of these requests.
     pub fn roll(&mut self, now: Time, number: u64, roll: &Roll, messages: &mut Vec<(Life, Message)>) {
         if number < self.min_roll_version {
             return;
@@ -106,7 +107,7 @@
         &mut self, now: Time, from: Life, number: u64, all: Vec<Orphan>, more: bool,
         messages: &mut Vec<(Life, Message)>,
     ) {
-        let Some(query) = self.queries.get(&from).filter(|a| a.number == number) else { return };
+        let Some(query) = self.queries.get(&from).filter(|query| query.number == number) else { return };
         let since = query.since;
         let last = all.last().map(|r| r.record.identity);
         for orphan in all {
@@ -158,7 +159,7 @@
 
     /// The time of the next timer.
     pub fn next_due(&self) -> Option<Time> {
-        self.queries.values().map(|a| a.resend_at).min()
+        self.queries.values().map(|query| query.resend_at).min()
     }
 
     /// Resends queries without a reply.
--- a/crates/sandgap-takeover/src/keeper.rs
+++ b/crates/sandgap-takeover/src/keeper.rs
@@ -30,6 +30,7 @@
 /// Bytes of an entry beside the request and the answer: the record, its strings and its map entries.
 const ENTRY_OVERHEAD_BYTES: usize = 512;
 
+/// A stored request.
 struct Kept {
     actor: Actor,
     /// The owner's sequence number: a retry with the same identity is a different request.
@@ -55,7 +56,7 @@
         self.request.len() + answer + ENTRY_OVERHEAD_BYTES
     }
 
-    fn open(&self) -> bool {
+    fn is_open(&self) -> bool {
         self.known.record.end.is_none()
     }
 }
@@ -69,7 +70,9 @@
     ended: BTreeSet<(Time, Identity)>,
     open: BTreeSet<(Time, Identity)>,
     bytes: usize,
+    /// Entries by owner.
     owners: BTreeMap<Life, usize>,
+    /// Entries and bytes by tenant.
     tenants: BTreeMap<Option<String>, (usize, usize)>,
     /// The enrolled processes, and when each was first seen; `None` for those enrolled before this process.
     roll: Roll,
@@ -229,7 +232,7 @@
         *self.owners.entry(actor.life).or_default() += 1;
         let tenant = self.tenants.entry(kept.known.record.tenant.clone()).or_default();
         *tenant = (tenant.0 + 1, tenant.1 + kept.bytes);
-        self.expiry_index(kept.open()).insert((expires, identity));
+        self.expiry_index(kept.is_open()).insert((expires, identity));
         self.kept.insert(identity, kept);
     }
 
@@ -241,10 +244,10 @@
     fn advance(&mut self, now: Time, keep: Keep) {
         let (drift, identity) = (self.terms.drift, keep.record.identity);
         let Some(mut kept) = self.kept.remove(&identity) else { return };
-        let (was_open, expired) = (kept.open(), kept.expires);
+        let (was_open, expired) = (kept.is_open(), kept.expires);
         kept.unverified &= keep.fresh;
         if kept.known.advance(now, keep.record, drift) {
-            if !kept.open() {
+            if !kept.is_open() {
                 kept.request = Bytes::from([]); // it is not sent again
             }
             kept.expires = self.expiry(now, &kept.known);
@@ -255,7 +258,7 @@
             }
             kept.bytes = bytes;
             self.expiry_index(was_open).remove(&(expired, identity));
-            self.expiry_index(kept.open()).insert((kept.expires, identity));
+            self.expiry_index(kept.is_open()).insert((kept.expires, identity));
         }
         self.kept.insert(identity, kept);
     }
@@ -263,7 +266,7 @@
     fn forget(&mut self, identity: Identity) {
         let Some(kept) = self.kept.remove(&identity) else { return };
         self.bytes -= kept.bytes;
-        self.expiry_index(kept.open()).remove(&(kept.expires, identity));
+        self.expiry_index(kept.is_open()).remove(&(kept.expires, identity));
         if let Some(n) = self.owners.get_mut(&kept.actor.life) {
             *n -= 1;
             if *n == 0 {
@@ -301,26 +304,27 @@
     /// above all long-enrolled ones may have been asked. If it is live it has to be asked now; if it ended, a process
     /// that kept records together with it has to be.
     fn who_knows(&self, now: Time, identity: Identity) -> Result<Vec<Life>, Duration> {
-        let settled = |life: &Life| match self.since.get(life) {
+        let long_enrolled = |life: &Life| match self.since.get(life) {
             Some(Some(since)) => now >= *since + self.terms.retention,
             Some(None) => true,
             None => false,
         };
-        let (mut ask_also, mut gone) = (Vec::new(), 0);
+        let (mut ask_also, mut lost_count) = (Vec::new(), 0);
         for life in identity.rank(self.roll.keys().chain(self.lost.keys())) {
             if let Some((who, at)) = self.lost.get(&life) {
                 let left = (*at + self.terms.retention).saturating_sub(now);
                 if left.is_zero() {
                     continue;
                 }
-                gone += 1;
-                if gone >= self.terms.keepers {
-                    return Err(left); // as many processes as keep one request have ended: together they may have held all copies
+                lost_count += 1;
+                if lost_count >= self.terms.keepers {
+                    // As many processes as keep one request have ended: together they may have held all copies.
+                    return Err(left);
                 }
                 let mut former_roll: BTreeMap<Life, Enrolled> = (*self.roll).clone();
                 former_roll.insert(life, who.clone());
                 let co_keepers = keepers(identity, &former_roll, 0, self.terms.keepers);
-                match co_keepers.into_iter().find(|other| *other != life && settled(other)) {
+                match co_keepers.into_iter().find(|other| *other != life && long_enrolled(other)) {
                     Some(other) if other == self.me => {}
                     Some(other) => ask_also.push(other),
                     None => return Err(left),
@@ -329,7 +333,7 @@
                 if life != self.me {
                     ask_also.push(life);
                 }
-                if settled(&life) {
+                if long_enrolled(&life) {
                     break;
                 }
             }
@@ -348,7 +352,7 @@
             return (Vec::new(), false); // a later heir has taken over from this heir
         }
         *superseded = claim.epoch;
-        let left = |(_, kept): &(&Identity, &Kept)| kept.actor.life == claim.life && kept.open();
+        let left = |(_, kept): &(&Identity, &Kept)| kept.actor.life == claim.life && kept.is_open();
         let mut all: Vec<(&Identity, &Kept)> = self.kept.iter().filter(left).collect();
         all.sort_unstable_by_key(|(identity, _)| **identity);
         let (mut page, mut bytes) = (Vec::new(), 0);
--- a/crates/sandgap-takeover/src/owner.rs
+++ b/crates/sandgap-takeover/src/owner.rs
@@ -51,6 +51,7 @@
     Stop(u64, Why),
 }
 
+/// A request in flight, and the replication of its current step.
 struct InFlight {
     actor: Actor,
     record: Record,
@@ -69,6 +70,7 @@
     cleared: Option<u32>,
     /// Whether the current step was stopped.
     stopped: bool,
+    /// Whether the request was retried, or stopped for want of keepers.
     retried: bool,
     /// Another process acts for the identity: the request waits for its end, or until the keeper accepts this one.
     joined: Option<Actor>,
@@ -199,8 +201,8 @@
     fn send_step(&mut self, now: Time, seq: u64, orders: &mut Vec<Order>) {
         let Some(own) = self.requests.get_mut(&seq) else { return };
         own.resend_at = now + if own.joined.is_some() { JOIN_POLL_INTERVAL } else { RESEND_INTERVAL };
-        let others = own.record.keepers.iter().any(|life| *life != self.life);
-        if !others {
+        let has_other_keepers = own.record.keepers.iter().any(|life| *life != self.life);
+        if !has_other_keepers {
             // Stopped immediately the first time; a retried request is stopped only after the timeout.
             if !std::mem::replace(&mut own.retried, true) {
                 own.stopped = true;
@@ -244,8 +246,8 @@
             Verdict::Kept => {
                 own.joined = None;
                 let first = own.confirmed.is_empty();
-                let has = own.confirmed.entry(from).or_insert(step);
-                *has = (*has).max(step);
+                let confirmed_step = own.confirmed.entry(from).or_insert(step);
+                *confirmed_step = (*confirmed_step).max(step);
                 if first {
                     own.since = now;
                 }
--- a/crates/sandgap-takeover/tests/model.rs
+++ b/crates/sandgap-takeover/tests/model.rs
@@ -194,9 +194,9 @@
                 state.superseded[before] = true;
             }
         }
-        let mine = |actor: usize| actor == OWNER || actor == HEIRS[0];
+        let may_inherit = |actor: usize| actor == OWNER || actor == HEIRS[0];
         state.procs[heir].step = match state.keeper {
-            Some((stored, actor)) if mine(actor) => {
+            Some((stored, actor)) if may_inherit(actor) => {
                 if self.defect == Defect::HeirTooSoon || self.defect == Defect::HeirWithoutEpoch {
                     state.keeper = Some((stored, heir));
                 }
