--- a/crates/sandgap/src/beliefs.rs
+++ b/crates/sandgap/src/beliefs.rs
@@ -99,17 +99,17 @@
 
 fn recorder() -> PrometheusRecorder {
     let recorder = PrometheusBuilder::new().build_recorder();
-    let about = "estimated concurrency limit of a backend, in requests of all proxies";
+    let about = "requests that a backend is believed to hold, of all proxies";
     recorder.describe_gauge("sandgap_backend_limit".into(), None, about.into());
     recorder.describe_gauge(
         "sandgap_backend_rated".into(),
         None,
-        "concurrency limit by the backend's rating, in requests".into(),
+        "requests that its rating says it holds".into(),
     );
     recorder.describe_counter(
         "sandgap_events_total".into(),
         None,
-        "closes, refusals, attempts, retries, denials, violations and other events, by reason".into(),
+        "closes, refusals, attempts, retries, denials and violations by their reasons".into(),
     );
     recorder
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -23,7 +23,7 @@
 pub(crate) const BAND_RATIO: f64 = 1.2;
 /// Answers over which a server's latency is averaged.
 const SERVER_LATENCY_SAMPLES: f64 = 12.0;
-/// Cap on an answer's weight in its kind's mean latency, as a multiple of that mean.
+/// An answer counts in the mean of its kind with at most this multiple of that mean.
 const KIND_OUTLIER_FACTOR: f64 = 2.0;
 /// Weight of the kind's mean in a server's latency, in answers; a server with fewer answers follows mostly its kind.
 const KIND_WEIGHT_SAMPLES: f64 = 6.0;
