--- a/crates/sandgap-driver/src/core.rs
+++ b/crates/sandgap-driver/src/core.rs
@@ -15,7 +15,7 @@
 
 use crate::closings::Closings;
 use crate::endpoint::{DRAINING, Endpoint, Host, UP};
-use crate::permit::{Attempts, Denial, LATEST_ANSWER, Place, SendFacts, Violation};
+use crate::permit::{Attempts, Denial, MAX_ANSWER_DELAY, Place, SendFacts, Violation};
 use crate::starts::Starts;
 
 /// Time since the process started, on a monotonic clock.
@@ -60,7 +60,7 @@
         true
     }
     /// Whether a request can't be sent again because part of its body was sent and not buffered.
-    fn is_spent(&self, _held: &Self::Held) -> bool {
+    fn is_body_consumed(&self, _held: &Self::Held) -> bool {
         false
     }
     /// An endpoint gets no new attempts; resources kept for it can be released.
@@ -75,7 +75,7 @@
     fn listed(&mut self, scope: Scope, has_backends: bool);
     /// The module requested an action that is not allowed; it was not performed.
     fn violation(&mut self, violation: Violation, request: RequestId);
-    /// An answer is given more than [`LATEST_ANSWER`] after its client's deadline: there was a standstill of the process or
+    /// An answer is given more than [`MAX_ANSWER_DELAY`] after its client's deadline: there was a standstill of the process or
     /// its machine, or the answer was delayed elsewhere.
     fn late_answer(&mut self, _request: RequestId) {}
     /// An attempt that the module requested was not started.
@@ -157,7 +157,7 @@
     /// when the process shuts down.
     pub answer_by: Rc<Cell<Time>>,
     /// If it may be a duplicate, nothing of it may be written from this time on.
-    pub before: Option<Time>,
+    pub write_before: Option<Time>,
 }
 
 /// A request that is unanswered or has attempts in flight.
@@ -202,7 +202,7 @@
 
 /// Drives a module with incoming events. The size of its maps is bounded by the number of requests that the caller admits.
 pub struct Core<D, O: Effects> {
-    decider: D,
+    policy: D,
     /// Performs the effects.
     pub effects: O,
     names: Names,
@@ -228,9 +228,9 @@
 
 impl<D: Policy, O: Effects> Core<D, O> {
     /// Creates an empty core; `unix_zero` is the Unix time in ms at which [`Time`] is zero.
-    pub fn new(decider: D, effects: O, names: Names, unix_zero: Millis) -> Self {
+    pub fn new(policy: D, effects: O, names: Names, unix_zero: Millis) -> Self {
         Core {
-            decider,
+            policy,
             effects,
             names,
             starts: Starts::new(unix_zero),
@@ -249,7 +249,7 @@
     }
 
     /// Number of requests that are unanswered or have attempts in flight.
-    pub fn held(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
@@ -259,8 +259,8 @@
     }
 
     /// The decision module.
-    pub fn decider(&self) -> &D {
-        &self.decider
+    pub fn policy(&self) -> &D {
+        &self.policy
     }
 
     /// Address of a backend that is on the list.
@@ -269,8 +269,8 @@
     }
 
     /// Attempts in flight at a backend.
-    pub fn held_at(&self, backend: BackendId) -> u32 {
-        self.endpoints.get(&backend).map_or(0, |e| e.held())
+    pub fn in_flight_at(&self, backend: BackendId) -> u32 {
+        self.endpoints.get(&backend).map_or(0, |e| e.in_flight())
     }
 
     /// Ended attempts at a backend, served or failed, and how many of them failed.
@@ -286,7 +286,7 @@
 
     /// Attempts in flight at all listed backends.
     pub fn held_at_all(&self) -> u32 {
-        self.endpoints.values().map(|e| e.held()).sum()
+        self.endpoints.values().map(|e| e.in_flight()).sum()
     }
 
     /// When the next timer fires. Deadline timers of answered requests are dropped here: nearly all requests are
@@ -304,7 +304,7 @@
     }
 
     /// Runs all timers that are due.
-    pub fn fire(&mut self, now: Time) {
+    pub fn run_due_timers(&mut self, now: Time) {
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             let Some(Reverse((_, due))) = self.timers.pop() else { break };
             match due {
@@ -422,7 +422,7 @@
     ) {
         let Some(pending) = self.pending.get(&request) else { return };
         if pending.open && pending.upload.is_some() {
-            let spent = outcome != Outcome::Served && self.effects.is_spent(&pending.held);
+            let spent = outcome != Outcome::Served && self.effects.is_body_consumed(&pending.held);
             if pending.uploading || spent {
                 self.end_upload(now, request, spent);
             }
@@ -565,7 +565,7 @@
             Answer::Refused(after) => pending.attempts.may_refuse(pending.effect, now, *after),
             Answer::Served(_) | Answer::Failed => Ok(()),
         };
-        if now > pending.deadline.saturating_add(LATEST_ANSWER) {
+        if now > pending.deadline.saturating_add(MAX_ANSWER_DELAY) {
             self.effects.late_answer(id);
         }
         let answer = match refusal {
@@ -635,7 +635,7 @@
     fn handle(&mut self, now: Time, event: Event) {
         self.now = now;
         let mut actions = std::mem::take(&mut self.actions);
-        self.decider.handle(to_ms(now), event, &mut actions);
+        self.policy.handle(to_ms(now), event, &mut actions);
         for action in actions.drain(..) {
             self.perform(action);
         }
@@ -729,8 +729,8 @@
         let Some(pending) = self.pending.get(&request) else { return };
         let until = timeout.map_or(pending.deadline, |t| pending.deadline.min(self.now + from_ms(t)));
         let (wanted, answer_by) = (pending.wanted.clone(), pending.answer_by.clone());
-        let before = before.map(from_ms);
-        let attempt = Attempt { request, number, endpoint, wanted, until, answer_by, before };
+        let write_before = before.map(from_ms);
+        let attempt = Attempt { request, number, endpoint, wanted, until, answer_by, write_before };
         self.effects.attempt(&pending.held, attempt);
     }
 
--- a/crates/sandgap-driver/src/core/tests.rs
+++ b/crates/sandgap-driver/src/core/tests.rs
@@ -97,7 +97,7 @@
 }
 
 fn submit(core: &mut Core<ScriptedPolicy, RecordedEffects>, id: u64, actions: Vec<Action>) {
-    core.decider.script.push_back(actions);
+    core.policy.script.push_back(actions);
     core.request(at(0), arrival(id, at(1000)));
 }
 
@@ -106,13 +106,13 @@
     let mut core = core();
     submit(&mut core, 1, vec![]);
     assert_eq!(core.next_due(), Some(at(996)));
-    core.fire(at(995));
+    core.run_due_timers(at(995));
     assert!(core.effects.answers.is_empty());
-    core.fire(at(996));
+    core.run_due_timers(at(996));
     // It was never sent, so it is refused; a failure would leave the client uncertain whether it ran.
     assert_eq!(core.effects.answers, [(RequestId(1), "Refused(None)".to_owned())]);
-    assert!(matches!(core.decider.events.last(), Some(Event::Abandoned(RequestId(1)))));
-    assert_eq!((core.held(), core.next_due()), (0, None));
+    assert!(matches!(core.policy.events.last(), Some(Event::Abandoned(RequestId(1)))));
+    assert_eq!((core.pending_count(), core.next_due()), (0, None));
 }
 
 #[test]
@@ -120,9 +120,9 @@
     let mut core = core();
     submit(&mut core, 1, vec![send(1, "a"), Action::Fail(RequestId(1)), Action::Fail(RequestId(1))]);
     core.ended(at(5), RequestId(1), 0, 5.0, Outcome::Served, Some("late"));
-    core.fire(at(2000));
+    core.run_due_timers(at(2000));
     assert_eq!(core.effects.answers, [(RequestId(1), "Failed".to_owned())]);
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.pending_count(), 0);
 }
 
 #[test]
@@ -134,7 +134,7 @@
     assert_eq!(core.effects.attempts.len(), 1);
     assert!(!core.effects.attempts[0].wanted.get());
     let not_sent = |e: &&Event| matches!(e, Event::Ended { attempt: 1, outcome: Outcome::NotSent, .. });
-    assert_eq!(core.decider.events.iter().filter(not_sent).count(), 1);
+    assert_eq!(core.policy.events.iter().filter(not_sent).count(), 1);
     core.list(at(1), Scope::Delta, vec![host("b", 2, "draining")]);
     submit(&mut core, 2, vec![send(2, "b")]);
     assert_eq!(core.effects.attempts.len(), 1);
@@ -158,12 +158,12 @@
 #[test]
 fn a_timeout_counts_from_the_send_and_is_limited_by_the_deadline() {
     let mut core = core();
-    core.decider.script.push_back(vec![]);
+    core.policy.script.push_back(vec![]);
     core.request(at(100), arrival(1, at(1000)));
     for (timeout, until) in [(Some(200.0), at(500)), (Some(9000.0), at(1000)), (None, at(1000))] {
         let send =
             Action::Send { request: RequestId(1), backend: BackendId(number_of("a")), timeout, before: None };
-        core.decider.script.push_back(vec![send]);
+        core.policy.script.push_back(vec![send]);
         core.message(at(300), 0, Vec::new());
         assert_eq!(core.effects.attempts.last().expect("sent").until, until);
     }
@@ -211,7 +211,7 @@
                 2 => core.client_disconnected(now, RequestId(rng.u64(0..60))),
                 _ => {}
             }
-            core.fire(now);
+            core.run_due_timers(now);
             // Attempts end in any order.
             while ended_count < core.effects.attempts.len() && rng.bool() {
                 let (request, number) = {
@@ -224,7 +224,7 @@
                 core.ended(now, request, number, 1.0, outcome, Some("x"));
             }
         }
-        core.fire(now + at(1000));
+        core.run_due_timers(now + at(1000));
         while ended_count < core.effects.attempts.len() && ended_count < 100_000 {
             let (request, number) =
                 (core.effects.attempts[ended_count].request, core.effects.attempts[ended_count].number);
@@ -236,7 +236,7 @@
         answered.sort_unstable();
         answered.dedup();
         assert_eq!(answered.len(), count, "seed {seed}: a second answer");
-        assert_eq!(core.held(), 0, "seed {seed}");
+        assert_eq!(core.pending_count(), 0, "seed {seed}");
     }
 }
 
@@ -244,26 +244,26 @@
 fn without_a_lease_nothing_is_sent_and_the_client_is_refused_at_once() {
     let mut core = core();
     core.effects.lease_lapsed = true;
-    core.decider.script = [vec![send(1, "a")]].into();
+    core.policy.script = [vec![send(1, "a")]].into();
     core.request(at(1), arrival(1, at(900)));
     assert!(core.effects.attempts.is_empty());
     assert_eq!(core.effects.answers, [(RequestId(1), "Refused(None)".to_owned())]);
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.pending_count(), 0);
     let ended = |e: &Event| matches!(e, Event::Ended { outcome: Outcome::NotSent, closed: true, .. });
     assert!(
-        core.decider.events.iter().any(ended),
+        core.policy.events.iter().any(ended),
         "the module is notified of the attempt that was not started"
     );
-    assert!(core.decider.events.iter().any(|e| matches!(e, Event::Abandoned(RequestId(1)))));
+    assert!(core.policy.events.iter().any(|e| matches!(e, Event::Abandoned(RequestId(1)))));
 }
 
 #[test]
 fn a_request_that_may_have_run_before_the_lease_lapsed_fails_without_a_retry() {
     let mut core = core();
-    core.decider.script = [vec![send(1, "a")]].into();
+    core.policy.script = [vec![send(1, "a")]].into();
     core.request(at(1), arrival(1, at(900)));
     core.effects.lease_lapsed = true;
-    core.decider.script = [vec![send(1, "b")]].into();
+    core.policy.script = [vec![send(1, "b")]].into();
     core.ended(at(9), RequestId(1), 0, 8.0, Outcome::Reset, None);
     assert_eq!(core.effects.attempts.len(), 1);
     assert_eq!(core.effects.answers, [(RequestId(1), "Failed".to_owned())]);
@@ -278,27 +278,27 @@
     core.request(at(0), arrival(3, at(300)));
     core.end_by(at(500));
     core.request(at(100), arrival(4, at(900)));
-    core.fire(at(296));
+    core.run_due_timers(at(296));
     assert_eq!(core.effects.answers, [(RequestId(3), "Refused(None)".to_owned())]);
-    core.fire(at(495));
+    core.run_due_timers(at(495));
     assert_eq!(core.effects.answers.len(), 1);
-    core.fire(at(496));
+    core.run_due_timers(at(496));
     let mut answers = core.effects.answers.split_off(1);
     answers.sort();
     let answer = |id, what: &str| (RequestId(id), what.to_owned());
     assert_eq!(answers, [answer(1, "Failed"), answer(2, "Refused(None)"), answer(4, "Refused(None)")]);
     core.ended(at(600), RequestId(1), 0, 600.0, Outcome::TimedOut, None);
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.pending_count(), 0);
 }
 
 #[test]
 fn a_long_request_that_is_still_being_received_is_answered_at_shutdown() {
     let mut core = core();
-    core.decider.script.push_back(vec![send(1, "a")]);
+    core.policy.script.push_back(vec![send(1, "a")]);
     core.request(at(0), Arrival { upload: Some(at(9000)), ..arrival(1, at(9000)) });
     core.end_by(at(500));
     core.uploaded(at(400), RequestId(1));
-    core.fire(at(496));
+    core.run_due_timers(at(496));
     assert_eq!(core.effects.answers, [(RequestId(1), "Failed".to_owned())]);
 }
 
@@ -309,7 +309,7 @@
     let send =
         Action::Send { request: RequestId(1), backend: BackendId(number_of("a")), timeout: None, before };
     submit(&mut core, 1, vec![send]);
-    assert_eq!(core.effects.attempts[0].before, Some(at(700)));
+    assert_eq!(core.effects.attempts[0].write_before, Some(at(700)));
 }
 
 #[test]
@@ -318,20 +318,20 @@
         let mut core = core();
         core.request(at(0), Arrival { upload: Some(at(900)), ..arrival(1, at(900)) });
         core.received(RequestId(1), at(100)); // received completely while it is queued
-        core.decider.script.push_back(vec![send(1, "a")]);
+        core.policy.script.push_back(vec![send(1, "a")]);
         core.list(at(500), Scope::Delta, Vec::new());
         let attempt = core.effects.attempts.last().expect("sent");
         assert_eq!((attempt.until, attempt.answer_by.get()), (at(1000), at(996)));
         if repeated {
-            core.decider.script.push_back(vec![send(1, "b")]);
+            core.policy.script.push_back(vec![send(1, "b")]);
             core.ended(at(600), RequestId(1), 0, 100.0, Outcome::ConnectFailed, None);
             let attempt = core.effects.attempts.last().expect("sent again");
             assert_eq!((attempt.until, attempt.answer_by.get()), (at(1000), at(996)));
         }
         core.uploaded(at(700), RequestId(1));
-        core.fire(at(995));
+        core.run_due_timers(at(995));
         assert!(core.effects.answers.is_empty());
-        core.fire(at(996));
+        core.run_due_timers(at(996));
         assert_eq!(core.effects.answers, [(RequestId(1), "Failed".to_owned())]);
     }
 }
@@ -339,14 +339,14 @@
 #[test]
 fn no_deadline_applies_while_a_long_request_is_being_received() {
     let mut core = core();
-    core.decider.script.push_back(vec![send(1, "a")]);
+    core.policy.script.push_back(vec![send(1, "a")]);
     core.request(at(0), Arrival { upload: Some(at(900)), ..arrival(1, at(900)) });
-    core.fire(at(5000));
+    core.run_due_timers(at(5000));
     assert!(core.effects.answers.is_empty());
     core.received(RequestId(1), at(5000));
-    core.fire(at(5895));
+    core.run_due_timers(at(5895));
     assert!(core.effects.answers.is_empty());
-    core.fire(at(5896));
+    core.run_due_timers(at(5896));
     assert_eq!(core.effects.answers, [(RequestId(1), "Failed".to_owned())]);
 }
 
@@ -356,7 +356,7 @@
 /// The start time of a backend in the last list that the module received.
 fn since(core: &Core<ScriptedPolicy, RecordedEffects>, name: &str) -> Option<Millis> {
     let id = BackendId(number_of(name));
-    let entries = core.decider.events.iter().rev().filter_map(|event| match event {
+    let entries = core.policy.events.iter().rev().filter_map(|event| match event {
         Event::List { entries, .. } => entries.iter().find(|e| e.id == id),
         _ => None,
     });
@@ -388,26 +388,26 @@
 fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
     let refuse = || Action::Refuse { request: RequestId(1), retry_after: None };
     let mut core = core();
-    core.decider.script.push_back(vec![send(1, "a")]);
+    core.policy.script.push_back(vec![send(1, "a")]);
     core.request(at(0), Arrival { effect: Effect::Unsafe, ..arrival(1, at(1000)) });
-    core.decider.script.push_back(vec![send(1, "b"), refuse()]);
+    core.policy.script.push_back(vec![send(1, "b"), refuse()]);
     core.ended(at(10), RequestId(1), 0, 10.0, Outcome::Reset, None);
     assert_eq!(core.effects.attempts.len(), 1);
     assert_eq!(core.effects.violations, [Violation::RepeatOfUnsafe, Violation::RefusalAfterRun]);
     assert_eq!(core.effects.answers, [(RequestId(1), "Failed".to_owned())]);
-    assert_eq!(core.held(), 0);
+    assert_eq!(core.pending_count(), 0);
 }
 
 #[test]
 fn no_attempt_starts_shortly_before_the_deadline_and_the_client_is_refused_at_once() {
     let mut core = core();
     submit(&mut core, 1, vec![]);
-    core.decider.script.push_back(vec![send(1, "a")]);
+    core.policy.script.push_back(vec![send(1, "a")]);
     core.list(at(960), Scope::Delta, Vec::new()); // the process was delayed: earlier timers have not fired yet
     assert!(core.effects.attempts.is_empty());
     assert_eq!(core.effects.answers, [(RequestId(1), "Refused(None)".to_owned())]);
     assert_eq!(
-        (core.effects.violations.len(), core.held()),
+        (core.effects.violations.len(), core.pending_count()),
         (0, 0),
         "a correct module may cause this denial"
     );
--- a/crates/sandgap-driver/src/core/tests/reopening.rs
+++ b/crates/sandgap-driver/src/core/tests/reopening.rs
@@ -25,9 +25,9 @@
     assert!(!is_open(&core, "a") && !is_open(&core, "b"), "b is not listed");
     let effective_at = at(1000) + REOPEN_AFTER;
     assert!(core.next_due().is_some_and(|due| due <= effective_at));
-    core.fire(effective_at - at(1));
+    core.run_due_timers(effective_at - at(1));
     assert!(!is_open(&core, "a"));
-    core.fire(effective_at);
+    core.run_due_timers(effective_at);
     assert!(is_open(&core, "a"), "no service lags this long");
     assert!(!is_open(&core, "b"));
 }
@@ -40,7 +40,7 @@
     assert!(!is_open(&core, "a") && !is_open(&core, "b"));
     core.list(at(3000), Scope::Delta, vec![host("a", 1, "up"), host("b", 2, "draining")]);
     assert!(is_open(&core, "a"));
-    core.fire(at(2000) + REOPEN_AFTER);
+    core.run_due_timers(at(2000) + REOPEN_AFTER);
     assert!(!is_open(&core, "b"), "it was closed again meanwhile");
     core.uncertain_list(at(4000) + REOPEN_AFTER, Scope::Delta, vec![host("b", 2, "up")]);
     assert!(is_open(&core, "b"), "the closing is no longer recent");
@@ -84,7 +84,7 @@
         let mut now = at(0);
         for step in 0..60 {
             now += at(rng.u64(1..2500));
-            core.fire(now);
+            core.run_due_timers(now);
             for state in &mut expected {
                 let is_over = state.closed_at.is_some_and(|closed| now >= closed + REOPEN_AFTER);
                 if is_over && state.opened_by_uncertain {
--- a/crates/sandgap-driver/src/endpoint.rs
+++ b/crates/sandgap-driver/src/endpoint.rs
@@ -64,15 +64,15 @@
 #[derive(Default)]
 struct Counts {
     /// Attempts in flight.
-    held: Cell<u32>,
+    in_flight: Cell<u32>,
     /// Attempts that were served or failed, and how many of them failed.
     ended: Cell<(u64, u64)>,
 }
 
 /// Guard that counts an attempt as in flight until it is dropped.
-pub struct Holding(Rc<Counts>);
+pub struct InFlightGuard(Rc<Counts>);
 
-impl Holding {
+impl InFlightGuard {
     /// Counts the attempt as served (`well`) or failed.
     pub fn ended(&self, well: bool) {
         let (ended, failed) = self.0.ended.get();
@@ -80,9 +80,9 @@
     }
 }
 
-impl Drop for Holding {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.held.set(self.0.held.get() - 1);
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
 }
 
@@ -100,14 +100,14 @@
     }
 
     /// Counts a new attempt.
-    pub fn hold(&self) -> Holding {
-        self.counts.held.set(self.counts.held.get() + 1);
-        Holding(self.counts.clone())
+    pub fn begin_attempt(&self) -> InFlightGuard {
+        self.counts.in_flight.set(self.counts.in_flight.get() + 1);
+        InFlightGuard(self.counts.clone())
     }
 
     /// Attempts in flight at this backend.
-    pub fn held(&self) -> u32 {
-        self.counts.held.get()
+    pub fn in_flight(&self) -> u32 {
+        self.counts.in_flight.get()
     }
 
     /// Attempts that were served or failed, and how many of them failed.
--- a/crates/sandgap-driver/src/lib.rs
+++ b/crates/sandgap-driver/src/lib.rs
@@ -12,4 +12,4 @@
 
 pub use crate::closings::REOPEN_AFTER;
 pub use crate::core::{Answer, Arrival, Attempt, Cause, Core, Effects, Policy, Time};
-pub use crate::endpoint::{Endpoint, Holding, Host};
+pub use crate::endpoint::{Endpoint, Host, InFlightGuard};
--- a/crates/sandgap-driver/src/list_order.rs
+++ b/crates/sandgap-driver/src/list_order.rs
@@ -10,7 +10,7 @@
 
 /// A received list.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrived {
+pub struct ReceivedList {
     /// Its version.
     pub version: u64,
     /// True if it holds all backends, false if only those that have changed.
@@ -18,7 +18,7 @@
     /// It names no backend.
     pub empty: bool,
     /// An earlier message on the same watch could not be read.
-    pub behind_gap: bool,
+    pub after_gap: bool,
     /// When the call that returned it began.
     pub call_began: Time,
 }
@@ -29,14 +29,14 @@
     /// It is newer.
     Newer,
     /// It contains nothing new.
-    Repeated,
+    Unchanged,
     /// It may be older.
     Uncertain {
         /// It can't be distinguished from a repeated old one: the whole list has to be fetched with a new call.
-        ask_again: bool,
+        refetch: bool,
     },
     /// It holds changes to a list that is not known.
-    Baseless,
+    MissingBase,
 }
 
 /// Order of the lists from one address.
@@ -69,7 +69,7 @@
     }
 
     /// Compares a received list with what is known, and records it.
-    pub fn judge(&mut self, now: Time, list: Arrived) -> Verdict {
+    pub fn compare(&mut self, now: Time, list: ReceivedList) -> Verdict {
         let Some(held) = self.held else { return self.judge_first(now, list) };
         let is_newer = list.version > self.last_version || list.whole && list.version == self.last_version;
         if is_newer {
@@ -78,30 +78,30 @@
         }
         if list.whole && list.call_began > self.accepted_at {
             self.accept(now, list);
-            return Verdict::Uncertain { ask_again: false };
+            return Verdict::Uncertain { refetch: false };
         }
         if list.version < held {
-            return Verdict::Uncertain { ask_again: true };
+            return Verdict::Uncertain { refetch: true };
         }
-        if list.whole || !list.behind_gap {
+        if list.whole || !list.after_gap {
             self.held = Some(list.version);
         }
-        if list.empty && !list.whole { Verdict::Repeated } else { Verdict::Uncertain { ask_again: false } }
+        if list.empty && !list.whole { Verdict::Unchanged } else { Verdict::Uncertain { refetch: false } }
     }
 
-    fn judge_first(&mut self, now: Time, list: Arrived) -> Verdict {
+    fn judge_first(&mut self, now: Time, list: ReceivedList) -> Verdict {
         if !list.whole {
-            return Verdict::Baseless;
+            return Verdict::MissingBase;
         }
         let is_follower = std::mem::replace(&mut self.follows_other_address, true);
         self.accept(now, list);
-        if is_follower { Verdict::Uncertain { ask_again: false } } else { Verdict::Newer }
+        if is_follower { Verdict::Uncertain { refetch: false } } else { Verdict::Newer }
     }
 
-    fn accept(&mut self, now: Time, list: Arrived) {
+    fn accept(&mut self, now: Time, list: ReceivedList) {
         self.last_version = list.version;
         self.accepted_at = now;
-        if list.whole || !list.behind_gap {
+        if list.whole || !list.after_gap {
             self.held = Some(list.version);
         }
     }
--- a/crates/sandgap-driver/src/permit.rs
+++ b/crates/sandgap-driver/src/permit.rs
@@ -12,7 +12,7 @@
 
 /// No attempt starts for a client with less time than this left. A process may be delayed by 0.15 s between reading its
 /// clock and a write, and work that starts more than 0.1 s after a client has given up is lost.
-pub const LEAST_TIME_LEFT: Duration = Duration::from_millis(50);
+pub const MIN_TIME_LEFT: Duration = Duration::from_millis(50);
 /// Maximum age of the view of backends and clients on which a send is based: nothing may start more than 0.1 s after its
 /// client has left, and the process may be delayed once more before it writes.
 pub const MAX_VIEW_AGE: Duration = Duration::from_millis(50);
@@ -20,7 +20,7 @@
 /// may be wrong by 0.15 s.
 pub const MAX_HEAD_AGE: Duration = Duration::from_millis(50);
 /// An answer up to this long after its client's deadline has no worth but is not counted as lost; a later one is lost.
-pub const LATEST_ANSWER: Duration = Duration::from_millis(500);
+pub const MAX_ANSWER_DELAY: Duration = Duration::from_millis(500);
 
 /// Why an action is not allowed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -222,7 +222,7 @@
             SendFacts { endpoint_open: false, .. } => Err(Denial::EndpointClosed),
             SendFacts { lease_holds: false, .. } => Err(Denial::LeaseLapsed),
             SendFacts { repeat_dropped: false, .. } => Err(Denial::RepeatNotDropped),
-            SendFacts { time_left, .. } if time_left < LEAST_TIME_LEFT => Err(Denial::DeadlineOver),
+            SendFacts { time_left, .. } if time_left < MIN_TIME_LEFT => Err(Denial::DeadlineOver),
             SendFacts { head_age, .. } if head_age > MAX_HEAD_AGE => Err(Denial::HeadOutdated),
             SendFacts { .. } => Ok(()),
         }
--- a/crates/sandgap-driver/src/permit/tests.rs
+++ b/crates/sandgap-driver/src/permit/tests.rs
@@ -69,7 +69,7 @@
         wanted: true,
         endpoint_open: true,
         lease_holds: true,
-        time_left: LEAST_TIME_LEFT,
+        time_left: MIN_TIME_LEFT,
         repeat_dropped: true,
         head_age: MAX_HEAD_AGE,
     };
@@ -79,7 +79,7 @@
         (SendFacts { endpoint_open: false, ..good }, Denial::EndpointClosed),
         (SendFacts { lease_holds: false, ..good }, Denial::LeaseLapsed),
         (SendFacts { repeat_dropped: false, ..good }, Denial::RepeatNotDropped),
-        (SendFacts { time_left: LEAST_TIME_LEFT - at(1), ..good }, Denial::DeadlineOver),
+        (SendFacts { time_left: MIN_TIME_LEFT - at(1), ..good }, Denial::DeadlineOver),
         (SendFacts { head_age: MAX_HEAD_AGE + at(1), ..good }, Denial::HeadOutdated),
     ] {
         assert_eq!(facts.may_send(), Err(denial));
--- a/crates/sandgap-lab/src/fleet/sends.rs
+++ b/crates/sandgap-lab/src/fleet/sends.rs
@@ -67,12 +67,13 @@
             return self.cal.push(proxy.paused, Event::Due(p, process));
         }
         proxy.armed = Nanos::MAX;
-        proxy.core.fire(time(now));
+        proxy.core.run_due_timers(time(now));
         self.after(now, p);
     }
 
     fn begin(&mut self, now: Nanos, p: u16, attempt: Attempt) {
-        let Attempt { request, number, endpoint, wanted, until, answer_by: _, before } = attempt;
+        let Attempt { request, number, endpoint, wanted, until, answer_by: _, write_before: before } =
+            attempt;
         let mut server = proxy::server(endpoint.address);
         if self.e.fleet.defect == Some(Defect::PushesCold)
             && let Some(newest) = self.newest(p)
--- a/crates/sandgap/src/discovery/mod.rs
+++ b/crates/sandgap/src/discovery/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sandgap_driver::list_order::{Arrived, ListOrder, Verdict};
+use sandgap_driver::list_order::{ListOrder, ReceivedList, Verdict};
 use serde::Deserialize;
 use serde_json::Value;
 use tokio::sync::{Notify, oneshot, watch};
@@ -350,25 +350,25 @@
             return Err(WatchError::Unusable("discovery has moved".into()));
         }
         let hosts = list.entries();
-        let arrived = Arrived {
+        let arrived = ReceivedList {
             version: list.seq,
             whole: list.whole,
             empty: hosts.is_empty(),
-            behind_gap: gap,
+            after_gap: gap,
             call_began: call_began.saturating_duration_since(self.start),
         };
         let held = self.order.held();
-        let verdict = self.order.judge(self.start.elapsed(), arrived);
+        let verdict = self.order.compare(self.start.elapsed(), arrived);
         log_list(&list, &hosts, verdict);
         let scope = if list.whole { Scope::Full } else { Scope::Delta };
         match verdict {
-            Verdict::Baseless => {
+            Verdict::MissingBase => {
                 return Err(WatchError::Unusable("changes arrived before any full list".into()));
             }
-            Verdict::Repeated => return Ok(()),
+            Verdict::Unchanged => return Ok(()),
             Verdict::Newer => self.inbox.put(Input::List(scope, hosts)),
-            Verdict::Uncertain { ask_again: false } => self.inbox.put(Input::UncertainList(scope, hosts)),
-            Verdict::Uncertain { ask_again: true } => {
+            Verdict::Uncertain { refetch: false } => self.inbox.put(Input::UncertainList(scope, hosts)),
+            Verdict::Uncertain { refetch: true } => {
                 // Backends that it omits may have been added after it: only those that it names count.
                 self.inbox.put(Input::UncertainList(Scope::Delta, hosts));
                 self.record_regression();
@@ -394,10 +394,10 @@
     let (up, draining, removed) = (count("up"), count("draining"), count("removed"));
     let order = match verdict {
         Verdict::Newer => "newer",
-        Verdict::Repeated => "nothing new",
-        Verdict::Uncertain { ask_again: true } => "stale or counted anew",
-        Verdict::Uncertain { ask_again: false } => "perhaps older",
-        Verdict::Baseless => "of an unknown list",
+        Verdict::Unchanged => "nothing new",
+        Verdict::Uncertain { refetch: true } => "stale or counted anew",
+        Verdict::Uncertain { refetch: false } => "perhaps older",
+        Verdict::MissingBase => "of an unknown list",
     };
     note!(
         "discovery: version {}, {form}, {order}: {up} up, {draining} draining, {removed} removed",
--- a/crates/sandgap/src/driver.rs
+++ b/crates/sandgap/src/driver.rs
@@ -73,7 +73,7 @@
     type Reply = Reply;
 
     fn attempt(&mut self, held: &RequestContext, attempt: core::Attempt) {
-        let core::Attempt { request, number, endpoint, wanted, until, answer_by, before } = attempt;
+        let core::Attempt { request, number, endpoint, wanted, until, answer_by, write_before } = attempt;
         let diagnostics = &self.parts.diagnostics;
         if number > 0 {
             diagnostics.count(Event::Retry, held.last_outcome.get().map_or("none", outcome_name));
@@ -82,10 +82,10 @@
             let left = (self.start + until).saturating_duration_since(Instant::now()).as_secs_f64();
             json!({"request": request.0, "attempt": number, "backend": endpoint.address, "left_s": left})
         });
-        let report = Report::new(self.parts.inbox.clone(), request, number, endpoint.hold());
+        let report = Report::new(self.parts.inbox.clone(), request, number, endpoint.begin_attempt());
         let until = self.start + until;
         let answer_by = AnswerBy { start: self.start, after: answer_by };
-        let before = before.map(|at| self.start + at);
+        let before = write_before.map(|at| self.start + at);
         let lease = held.lease.clone();
         let attempt = Attempt { endpoint, wanted, lease, until, answer_by, before, report };
         held.exchange.clone().attempt(attempt);
@@ -110,7 +110,7 @@
         }
     }
 
-    fn is_spent(&self, held: &RequestContext) -> bool {
+    fn is_body_consumed(&self, held: &RequestContext) -> bool {
         held.exchange.is_spent()
     }
 
@@ -208,12 +208,12 @@
                 Some(span) => self.catch_up(span, input, &mut inputs).await,
                 None => self.take_batch(input, &mut inputs),
             }
-            self.core.fire(self.now());
+            self.core.run_due_timers(self.now());
             let now = Instant::now();
             self.core.effects.parts.view.mark_caught_up(now);
             if now >= sweep {
                 self.core.effects.parts.backs.iter().for_each(|back| back.sweep());
-                let limits = self.core.decider().beliefs();
+                let limits = self.core.policy().beliefs();
                 let counts = self.core.effects.parts.diagnostics.counts();
                 self.beliefs.update(now.into_std(), limits, &counts, |b| self.core.address(b));
                 sweep = now + SWEEP_INTERVAL;
@@ -257,10 +257,10 @@
     fn answer_status(&self, query: StatusQuery) {
         let StatusQuery { at, measured, cohort, answer } = query;
         let id = |name: &str| BackendId(number_of(name));
-        let sights = at.iter().map(|name| (name.clone(), self.core.held_at(id(name)))).collect();
+        let sights = at.iter().map(|name| (name.clone(), self.core.in_flight_at(id(name)))).collect();
         let limits: FxHashMap<BackendId, f64> = match measured.is_empty() {
             true => FxHashMap::default(),
-            false => self.core.decider().beliefs().map(|b| (b.backend, b.limit)).collect(),
+            false => self.core.policy().beliefs().map(|b| (b.backend, b.limit)).collect(),
         };
         let holds = |name: String| {
             let limit = limits.get(&id(&name))?;
--- a/crates/sandgap/src/event.rs
+++ b/crates/sandgap/src/event.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-pub use sandgap_driver::{Endpoint, Holding, Host};
+pub use sandgap_driver::{Endpoint, Host, InFlightGuard};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use wharfhitch::{ClassId, Effect, Key, Millis, Outcome, RequestId, Scope, TenantId};
@@ -205,12 +205,12 @@
     latency: Option<Millis>,
     is_sent: bool,
     /// Counts the attempt as in flight at its backend until it ends.
-    holding: Holding,
+    holding: InFlightGuard,
 }
 
 impl Report {
     /// Creates the report of an attempt that starts now.
-    pub fn new(inbox: Inbox, request: RequestId, attempt: u32, holding: Holding) -> Self {
+    pub fn new(inbox: Inbox, request: RequestId, attempt: u32, holding: InFlightGuard) -> Self {
         Report { inbox, request, attempt, sent: Instant::now(), latency: None, is_sent: false, holding }
     }
 
