--- a/crates/sandgap/src/admin.rs
+++ b/crates/sandgap/src/admin.rs
@@ -137,7 +137,7 @@
 /// Opens the admin listener. If the address can't be used, that is logged and the proxy serves without it.
 pub async fn listen(address: SocketAddr) -> Option<TcpListener> {
     let on = format!("admin on {address}");
-    match retry::until_had(&on, || socket::listen(address)).await {
+    match retry::retry_transient(&on, || socket::listen(address)).await {
         Ok(listener) => {
             let at = listener.local_addr().unwrap_or(address);
             note!("admin calls at {at}");
--- a/crates/sandgap/src/body/answer.rs
+++ b/crates/sandgap/src/body/answer.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::{BodyError, MAX_ANSWER_BODY, WHOLE};
+use super::{BodyError, MAX_ANSWER_BODY, MAX_BUFFERED_BODY};
 
 /// Progress of a long answer, for the task that watches its backend.
 pub struct AnswerProgress {
@@ -34,7 +34,7 @@
 
     /// Whether the answer may still turn out short. For a short answer the last byte counts, not the first.
     pub fn may_be_short(&self) -> bool {
-        !self.is_declared_long && self.passed.get() <= WHOLE as u64
+        !self.is_declared_long && self.passed.get() <= MAX_BUFFERED_BODY as u64
     }
 
     /// Whether the next bytes are awaited from the backend, rather than held up by the client.
@@ -65,7 +65,7 @@
         let progress = Rc::new(AnswerProgress {
             last_change: Cell::new(Instant::now()),
             awaits_backend: Cell::new(false),
-            is_declared_long: left.is_some_and(|length| length > WHOLE as u64),
+            is_declared_long: left.is_some_and(|length| length > MAX_BUFFERED_BODY as u64),
             passed: Cell::new(0),
         });
         let (end, ended) = oneshot::channel();
--- a/crates/sandgap/src/body/mod.rs
+++ b/crates/sandgap/src/body/mod.rs
@@ -12,7 +12,7 @@
 pub use upload::{BodyFault, ReadAheadBudget, RequestBody, Upload};
 
 /// Maximum size in bytes of a body that is buffered and may be sent again, by the protocol.
-pub const WHOLE: usize = 64 << 10;
+pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 /// Maximum length of a request's body in bytes.
 pub const MAX_REQUEST_BODY: u64 = 32 << 20;
 /// Maximum length of an answer in bytes: twice the longest that backends give. Anything longer is an error.
--- a/crates/sandgap/src/body/pace.rs
+++ b/crates/sandgap/src/body/pace.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::WHOLE;
+use super::MAX_BUFFERED_BODY;
 
 /// Initial wait credit, used in one or several waits: a client may take 2 s to write a request. One that stops sending
 /// gets its error well within the 3 s in which it must get one.
@@ -40,7 +40,8 @@
         let waited = self.waiting_since.take().map_or(Duration::ZERO, |since| now - since);
         self.has_waited |= waited > Duration::from_millis(1);
         self.passed += bytes as u64;
-        let max_credit = (INITIAL_CREDIT + earned(self.passed.saturating_sub(WHOLE as u64))).min(MAX_CREDIT);
+        let max_credit =
+            (INITIAL_CREDIT + earned(self.passed.saturating_sub(MAX_BUFFERED_BODY as u64))).min(MAX_CREDIT);
         self.credit = (self.credit.saturating_sub(waited) + earned(bytes as u64)).min(max_credit);
     }
 
--- a/crates/sandgap/src/daemon.rs
+++ b/crates/sandgap/src/daemon.rs
@@ -15,7 +15,7 @@
 use crate::beliefs::Beliefs;
 use crate::config::{Config, Source};
 use crate::diagnostics::{Diagnostics, Event};
-use crate::driver::{Driver, Parts};
+use crate::driver::{Dependencies, Driver};
 use crate::event::{Host, Inbox, Input};
 use crate::front::{Frontend, UploadLimits};
 use crate::generation::Generations;
@@ -33,7 +33,7 @@
 /// Divisor of the memory limit that gives the total memory for long requests.
 const UPLOAD_MEMORY_DIVISOR: usize = 4;
 /// Maximum memory of one long request in bytes: the part kept for retries, and a chunk on each side.
-const MAX_UPLOAD_BYTES: usize = body::WHOLE + 2 * (32 << 10);
+const MAX_UPLOAD_BYTES: usize = body::MAX_BUFFERED_BODY + 2 * (32 << 10);
 /// Divisor of the memory limit that gives the memory for further read-ahead of long requests that wait for a backend.
 const READ_AHEAD_DIVISOR: usize = 8;
 /// Environment variable that names a file for the event trace.
@@ -110,7 +110,7 @@
             );
         }
         note!("settings in force: classes {}", config.names.classes.join(", "));
-        self.inbox.put(Input::Change(Box::new(change)));
+        self.inbox.send(Input::Change(Box::new(change)));
         self.upstreams.change(&config.connections);
         self.platform_file = config.platform_file;
         match (config.source, &self.discovery) {
@@ -120,7 +120,7 @@
             }
             (Source::Fixed(hosts), _) => {
                 note!("the configuration names {} backends", hosts.len());
-                self.inbox.put(Input::List(Scope::Full, hosts));
+                self.inbox.send(Input::List(Scope::Full, hosts));
             }
             (Source::Discovery(_), None) => {}
         }
@@ -146,7 +146,7 @@
 async fn offer_remembered(hosts: Vec<Host>, delay: Duration, inbox: Inbox) {
     if !hosts.is_empty() {
         tokio::time::sleep(delay).await;
-        inbox.put(Input::Remembered(hosts));
+        inbox.send(Input::PreviousList(hosts));
     }
 }
 
@@ -175,7 +175,7 @@
         }
         None => {
             let on = format!("listen on {}", config.listen);
-            let listener = retry::until_had(&on, || front::listen(config.listen)).await;
+            let listener = retry::retry_transient(&on, || front::listen(config.listen)).await;
             (listener.map_err(context(&on))?, None, None)
         }
     };
@@ -199,9 +199,9 @@
             let reads = datagrams.is_none(); // otherwise the older process reads until this one serves
             let socket = match datagrams {
                 Some(handed) => handed,
-                None => {
-                    retry::until_had(&on, || peers::bind(addresses.listen)).await.map_err(context(&on))?
-                }
+                None => retry::retry_transient(&on, || peers::bind(addresses.listen))
+                    .await
+                    .map_err(context(&on))?,
             };
             let peers =
                 peers::Peers::new(addresses, config.settings.me, socket, reads).map_err(context(&on))?;
@@ -217,12 +217,12 @@
     let upstreams =
         Rc::new(Upstreams::new(&config.connections, budget / 4, diagnostics.clone(), view.clone()));
     let asked = Rc::new(Notify::new());
-    let parts = Parts {
+    let parts = Dependencies {
         inbox: inbox.clone(),
-        backs: vec![upstreams.clone()],
+        pools: vec![upstreams.clone()],
         peers: peers.clone(),
         discovery: addresses.clone(),
-        watch: asked.clone(),
+        subscribe: asked.clone(),
         serving: serving.clone(),
         diagnostics: diagnostics.clone(),
         view,
@@ -234,9 +234,9 @@
     let driver =
         spawn_local(Driver::new(balancer, config.names, parts, Beliefs::new(config.metrics)).run(inputs));
     match config.source {
-        Source::Fixed(hosts) => inbox.put(Input::List(Scope::Full, hosts)),
+        Source::Fixed(hosts) => inbox.send(Input::List(Scope::Full, hosts)),
         Source::Discovery(_) => {
-            inbox.put(Input::List(Scope::Cached, Vec::new())); // starts the decision library's clock
+            inbox.send(Input::List(Scope::Cached, Vec::new())); // starts the decision library's clock
             let remembered = discovery::parse_remembered(&config.remembered_list).unwrap_or_default();
             spawn_local(offer_remembered(
                 remembered,
@@ -285,7 +285,7 @@
     }
     let rules = fleet.map(|fleet| {
         let rules = Rules::new(rules::runtime::agent(&fleet), fleet.terms.span.bound, fleet.header.clone());
-        front.agree(rules.clone());
+        front.set_rules(rules.clone());
         let (inbox, front) = (agreed_inbox, front.clone());
         let parts =
             rules::runtime::Parts { rules: rules.clone(), front, inbox, base, discovery: from_discovery };
@@ -320,8 +320,9 @@
 /// driver.
 pub fn serve(path: PathBuf) -> Result<(), String> {
     let config = load::read(&path)?;
-    let runtime =
-        retry::until_had_blocking(|| tokio::runtime::Builder::new_current_thread().enable_all().build());
+    let runtime = retry::retry_transient_blocking(|| {
+        tokio::runtime::Builder::new_current_thread().enable_all().build()
+    });
     let runtime = runtime.map_err(|e| format!("the runtime: {e}"))?;
     let outcome = LocalSet::new().block_on(&runtime, run(path, config));
     runtime.shutdown_background();
--- a/crates/sandgap/src/discovery/mod.rs
+++ b/crates/sandgap/src/discovery/mod.rs
@@ -187,7 +187,7 @@
             // which the library did not request.
             if waits || self.order.held().is_some() {
                 note!(warn: "discovery: {error}");
-                self.inbox.put(Input::List(Scope::Failed, Vec::new()));
+                self.inbox.send(Input::List(Scope::Failed, Vec::new()));
                 continue;
             }
             note!(warn: "discovery: {error}; retrying in {} ms", backoff.as_millis());
@@ -265,7 +265,7 @@
             self.lines_read += 1;
             let truncated = match assembly.push(&line) {
                 LineResult::Blank => {
-                    self.inbox.put(Input::DiscoveryAlive);
+                    self.inbox.send(Input::DiscoveryAlive);
                     continue;
                 }
                 LineResult::Partial => continue,
@@ -366,11 +366,11 @@
                 return Err(WatchError::Unusable("changes arrived before any full list".into()));
             }
             Verdict::Unchanged => return Ok(()),
-            Verdict::Newer => self.inbox.put(Input::List(scope, hosts)),
-            Verdict::Uncertain { refetch: false } => self.inbox.put(Input::UncertainList(scope, hosts)),
+            Verdict::Newer => self.inbox.send(Input::List(scope, hosts)),
+            Verdict::Uncertain { refetch: false } => self.inbox.send(Input::UncertainList(scope, hosts)),
             Verdict::Uncertain { refetch: true } => {
                 // Backends that it omits may have been added after it: only those that it names count.
-                self.inbox.put(Input::UncertainList(Scope::Delta, hosts));
+                self.inbox.send(Input::UncertainList(Scope::Delta, hosts));
                 self.record_regression();
                 return Err(WatchError::Regressed(format!(
                     "{} after {}",
@@ -441,10 +441,10 @@
     });
     match list.await.unwrap_or_else(|_| Err("no answer".into())) {
         // It may be older than changes that a watch has delivered meanwhile.
-        Ok(list) => inbox.put(Input::UncertainList(Scope::Full, list.entries())),
+        Ok(list) => inbox.send(Input::UncertainList(Scope::Full, list.entries())),
         Err(e) => {
             note!(warn: "discovery: {e}");
-            inbox.put(Input::List(Scope::Failed, Vec::new()));
+            inbox.send(Input::List(Scope::Failed, Vec::new()));
         }
     }
 }
--- a/crates/sandgap/src/drains.rs
+++ b/crates/sandgap/src/drains.rs
@@ -22,7 +22,7 @@
 
 impl Drains {
     /// Applies the drains to a list update and remembers the original entries.
-    pub fn overlay(&mut self, scope: Scope, hosts: &mut [Host]) {
+    pub fn apply_to_list(&mut self, scope: Scope, hosts: &mut [Host]) {
         if matches!(scope, Scope::Full | Scope::Cached) {
             self.entries.clear();
         }
@@ -37,7 +37,7 @@
     }
 
     /// Replaces the set of drains and returns the entries that change.
-    pub fn change(&mut self, names: BTreeSet<String>) -> Vec<Host> {
+    pub fn replace(&mut self, names: BTreeSet<String>) -> Vec<Host> {
         let before = std::mem::replace(&mut self.names, names);
         let changed: Vec<&String> = before.symmetric_difference(&self.names).collect();
         let entries = changed.into_iter().filter_map(|name| self.entries.get(name)).cloned();
@@ -78,24 +78,24 @@
     fn a_list_update_never_ends_a_manual_drain() {
         let mut drains = Drains::default();
         let mut list = [host("a", "up"), host("b", "up")];
-        drains.overlay(Scope::Full, &mut list);
-        assert_eq!(states(&drains.change(["a".to_owned()].into())), [("a", "draining")]);
+        drains.apply_to_list(Scope::Full, &mut list);
+        assert_eq!(states(&drains.replace(["a".to_owned()].into())), [("a", "draining")]);
         let mut update = [host("a", "up"), host("b", "draining")];
-        drains.overlay(Scope::Delta, &mut update);
+        drains.apply_to_list(Scope::Delta, &mut update);
         assert_eq!(states(&update), [("a", "draining"), ("b", "draining")]);
-        assert_eq!(states(&drains.change(BTreeSet::new())), [("a", "up")]);
+        assert_eq!(states(&drains.replace(BTreeSet::new())), [("a", "up")]);
     }
 
     #[test]
     fn a_removed_backend_is_not_restored() {
         let mut drains = Drains::default();
-        drains.change(["a".to_owned()].into());
-        drains.overlay(Scope::Full, &mut [host("a", "up")]);
-        drains.overlay(Scope::Delta, &mut [host("a", "removed")]);
-        assert!(drains.change(BTreeSet::new()).is_empty());
-        drains.change(["a".to_owned()].into());
-        drains.overlay(Scope::Full, &mut [host("a", "up")]);
-        drains.overlay(Scope::Full, &mut []);
-        assert!(drains.change(BTreeSet::new()).is_empty());
+        drains.replace(["a".to_owned()].into());
+        drains.apply_to_list(Scope::Full, &mut [host("a", "up")]);
+        drains.apply_to_list(Scope::Delta, &mut [host("a", "removed")]);
+        assert!(drains.replace(BTreeSet::new()).is_empty());
+        drains.replace(["a".to_owned()].into());
+        drains.apply_to_list(Scope::Full, &mut [host("a", "up")]);
+        drains.apply_to_list(Scope::Full, &mut []);
+        assert!(drains.replace(BTreeSet::new()).is_empty());
     }
 }
--- a/crates/sandgap/src/driver.rs
+++ b/crates/sandgap/src/driver.rs
@@ -34,17 +34,17 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The components that the driver depends on.
-pub struct Parts {
+pub struct Dependencies {
     /// The queue to which attempts report.
     pub inbox: Inbox,
     /// The upstream side of each protocol.
-    pub backs: Vec<Rc<dyn BackendPool>>,
+    pub pools: Vec<Rc<dyn BackendPool>>,
     /// The other proxies, if messages may be sent to them.
     pub peers: Option<Rc<Peers>>,
     /// Current address of the discovery service, if there is one.
     pub discovery: Option<watch::Receiver<SocketAddr>>,
     /// Notified when the decision library requests a discovery subscription.
-    pub watch: Rc<Notify>,
+    pub subscribe: Rc<Notify>,
     /// Notified once a list of backends is known.
     pub serving: Rc<Serving>,
     /// Event counters and the trace.
@@ -64,7 +64,7 @@
 
 /// Carries out the core's effects on sockets, peers and discovery.
 struct SocketEffects {
-    parts: Parts,
+    parts: Dependencies,
     start: Instant,
 }
 
@@ -115,17 +115,17 @@
     }
 
     fn retire(&mut self, endpoint: &Endpoint) {
-        self.parts.backs.iter().for_each(|back| back.retire(endpoint));
+        self.parts.pools.iter().for_each(|pool| pool.retire(endpoint));
     }
 
     fn broadcast(&mut self, bytes: Vec<u8>) {
         if let Some(peers) = &self.parts.peers {
-            peers.tell(&bytes);
+            peers.broadcast(&bytes);
         }
     }
 
     fn subscribe(&mut self) {
-        self.parts.watch.notify_one();
+        self.parts.subscribe.notify_one();
     }
 
     fn fetch_list(&mut self) {
@@ -177,7 +177,7 @@
 
 impl Driver {
     /// Creates a driver without requests. The decision library's clock starts here.
-    pub fn new(balancer: Balancer, names: Names, parts: Parts, beliefs: Beliefs) -> Self {
+    pub fn new(balancer: Balancer, names: Names, parts: Dependencies, beliefs: Beliefs) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let start = Instant::now();
         let core = Core::new(balancer, SocketEffects { parts, start }, names, unix.as_secs_f64() * 1000.0);
@@ -212,7 +212,7 @@
             let now = Instant::now();
             self.core.effects.parts.view.mark_caught_up(now);
             if now >= sweep {
-                self.core.effects.parts.backs.iter().for_each(|back| back.sweep());
+                self.core.effects.parts.pools.iter().for_each(|pool| pool.sweep());
                 let limits = self.core.policy().beliefs();
                 let counts = self.core.effects.parts.diagnostics.counts();
                 self.beliefs.update(now.into_std(), limits, &counts, |b| self.core.address(b));
@@ -255,23 +255,24 @@
 
     /// Answers a status query; all inputs queued before it have been handled.
     fn answer_status(&self, query: StatusQuery) {
-        let StatusQuery { at, measured, cohort, answer } = query;
+        let StatusQuery { in_flight_at, limits_of, cohort, answer } = query;
         let id = |name: &str| BackendId(number_of(name));
-        let sights = at.iter().map(|name| (name.clone(), self.core.in_flight_at(id(name)))).collect();
-        let limits: FxHashMap<BackendId, f64> = match measured.is_empty() {
+        let in_flight =
+            in_flight_at.iter().map(|name| (name.clone(), self.core.in_flight_at(id(name)))).collect();
+        let estimates: FxHashMap<BackendId, f64> = match limits_of.is_empty() {
             true => FxHashMap::default(),
             false => self.core.policy().beliefs().map(|b| (b.backend, b.limit)).collect(),
         };
-        let holds = |name: String| {
-            let limit = limits.get(&id(&name))?;
+        let limit_of = |name: String| {
+            let limit = estimates.get(&id(&name))?;
             Some((name, (limit.clamp(0.0, 1e9) * 1000.0) as u64))
         };
-        let holds = measured.into_iter().filter_map(holds).collect();
-        let held = self.core.held_at_all();
+        let limits = limits_of.into_iter().filter_map(limit_of).collect();
+        let in_flight_total = self.core.held_at_all();
         let add = |(a, f): (u64, u64), (all, failed): (u64, u64)| (a + all, f + failed);
         let cohort_ended = cohort.iter().map(|name| self.core.ended_at(id(name))).fold((0, 0), add);
         let ended = [cohort_ended, self.core.ended_at_all()];
-        let _ = answer.send(StatusReply { sights, held, holds, ended }); // fails if the asking task has ended
+        let _ = answer.send(StatusReply { in_flight, in_flight_total, limits, ended }); // fails if the asking task has ended
     }
 
     fn now(&self) -> Time {
@@ -326,24 +327,24 @@
             Input::DiscoveryAlive => self.core.discovery_alive(now),
             Input::List(scope, mut hosts) => {
                 if let Some(drains) = &mut self.drains {
-                    drains.overlay(scope, &mut hosts);
+                    drains.apply_to_list(scope, &mut hosts);
                 }
                 self.core.list(now, scope, hosts);
             }
             Input::UncertainList(scope, mut hosts) => {
                 if let Some(drains) = &mut self.drains {
-                    drains.overlay(scope, &mut hosts);
+                    drains.apply_to_list(scope, &mut hosts);
                 }
                 self.core.uncertain_list(now, scope, hosts);
             }
-            Input::Remembered(hosts) => {
+            Input::PreviousList(hosts) => {
                 if !self.core.effects.parts.serving.has_list() {
                     note!(warn: "discovery does not answer; serving from the list of the previous process");
                     self.handle(Input::List(Scope::Cached, hosts));
                 }
             }
             Input::Drains(names) => {
-                let lines = self.drains.get_or_insert_default().change(names);
+                let lines = self.drains.get_or_insert_default().replace(names);
                 self.core.list(now, Scope::Delta, lines);
             }
             Input::StatusQuery(query) => self.answer_status(*query),
--- a/crates/sandgap/src/event.rs
+++ b/crates/sandgap/src/event.rs
@@ -56,7 +56,7 @@
     /// An update of the backend list that may be older than the known state.
     UncertainList(Scope, Vec<Host>),
     /// The list of the previous process, used until discovery has delivered one.
-    Remembered(Vec<Host>),
+    PreviousList(Vec<Host>),
     /// Backends that are drained by hand, regardless of their state in the list.
     Drains(BTreeSet<String>),
     /// A query for the attempts in flight.
@@ -80,9 +80,9 @@
 /// A query for the attempts in flight. Its reply reflects all inputs queued before it.
 pub struct StatusQuery {
     /// Backends whose attempts in flight are reported.
-    pub at: Vec<String>,
+    pub in_flight_at: Vec<String>,
     /// Backends whose estimated concurrency limit is reported.
-    pub measured: Vec<String>,
+    pub limits_of: Vec<String>,
     /// Backends whose ended attempts are reported as one sum.
     pub cohort: Vec<String>,
     /// Channel for the reply.
@@ -92,11 +92,11 @@
 /// The reply to a [`StatusQuery`].
 pub struct StatusReply {
     /// Attempts in flight at the requested backends.
-    pub sights: Vec<(String, u32)>,
+    pub in_flight: Vec<(String, u32)>,
     /// Attempts in flight at all backends.
-    pub held: u32,
+    pub in_flight_total: u32,
     /// Estimated concurrency limits, in thousandths of requests.
-    pub holds: Vec<(String, u64)>,
+    pub limits: Vec<(String, u64)>,
     /// Pairs of ended attempts (served or failed) and failed attempts: first of the cohort, then of all backends.
     pub ended: [(u64, u64); 2],
 }
@@ -227,14 +227,14 @@
     /// Reports that a long request has been sent completely: the backend's latency counts from here.
     pub fn uploaded(&mut self) {
         self.sent = Instant::now();
-        self.inbox.put(Input::Uploaded(self.request));
+        self.inbox.send(Input::Uploaded(self.request));
     }
 
     /// Reports that a long answer has started.
     pub fn started(&mut self, reply: Reply) {
         self.latency = Some(self.elapsed());
         let (request, attempt) = (self.request, self.attempt);
-        self.inbox.put(Input::Started { request, attempt, reply });
+        self.inbox.send(Input::Started { request, attempt, reply });
     }
 
     fn elapsed(&self) -> Millis {
@@ -258,7 +258,7 @@
         }
         let latency = self.latency.unwrap_or_else(|| self.elapsed());
         let (request, attempt) = (self.request, self.attempt);
-        self.inbox.put(Input::Ended { request, attempt, latency, outcome, reply });
+        self.inbox.send(Input::Ended { request, attempt, latency, outcome, reply });
     }
 }
 
@@ -283,7 +283,7 @@
     }
 
     /// Queues an input.
-    pub fn put(&self, input: Input) {
+    pub fn send(&self, input: Input) {
         let _ = self.0.send(input); // fails only during shutdown
     }
 }
--- a/crates/sandgap/src/front/answer.rs
+++ b/crates/sandgap/src/front/answer.rs
@@ -88,7 +88,7 @@
             json!({"request": id.0, "id": &*parsed.id, "connection": client.number, "left_s": left})
         });
         let message = Outgoing { method: head.method, uri: target(&head.uri), headers, body, patience };
-        self.inbox.put(Input::Request(Box::new(Arrival {
+        self.inbox.send(Input::Request(Box::new(Arrival {
             id,
             class,
             effect,
@@ -107,7 +107,7 @@
         })));
         if let Some(upload) = &upload {
             let inbox = self.inbox.clone();
-            upload.on_received(move |at| inbox.put(Input::Received(id, at)));
+            upload.on_received(move |at| inbox.send(Input::Received(id, at)));
         }
         // Hyper drops this future when the client disconnects.
         let mut disconnect_guard = DisconnectGuard { inbox: &self.inbox, id, is_waiting: true };
@@ -203,7 +203,7 @@
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.is_waiting {
-            self.inbox.put(Input::Disconnected(self.id));
+            self.inbox.send(Input::Disconnected(self.id));
         }
     }
 }
--- a/crates/sandgap/src/front/head.rs
+++ b/crates/sandgap/src/front/head.rs
@@ -12,7 +12,7 @@
 
 use super::Frontend;
 use crate::generation::Generation;
-use crate::rules::Taken;
+use crate::rules::Admission;
 
 /// Ids of open requests. A second request with the same id could be mistaken for the first.
 pub(super) type OpenIds = Rc<RefCell<FxHashSet<Rc<str>>>>;
@@ -48,7 +48,7 @@
     pub(super) patience: Duration,
     pub(super) generation: Rc<Generation>,
     /// If rules are agreed: whether the request may be accepted now, or how long its client should wait.
-    pub(super) acceptance: Option<Result<Taken, Duration>>,
+    pub(super) acceptance: Option<Result<Admission, Duration>>,
 }
 
 impl Frontend {
@@ -82,7 +82,7 @@
         let sid = query.split('&').find_map(|p| p.strip_prefix("sid="));
         let hint = number(protocol_headers.cost)?.map(|us| us / 1000.0);
         let key = sid.map(|s| Key(number_of(s)));
-        let acceptance = self.rules.get().map(|rules| rules.take(name));
+        let acceptance = self.rules.get().map(|rules| rules.admit(name));
         let effect = rules.effect;
         Ok(ParsedHead {
             id,
--- a/crates/sandgap/src/front/mod.rs
+++ b/crates/sandgap/src/front/mod.rs
@@ -117,7 +117,7 @@
     }
 
     /// From now on, accepts requests only under the agreed rules.
-    pub fn agree(&self, rules: Rc<Rules>) {
+    pub fn set_rules(&self, rules: Rc<Rules>) {
         let _ = self.rules.set(rules); // called once, at startup
     }
 
@@ -135,8 +135,8 @@
     ///
     /// # Errors
     /// If open requests hold too many classes.
-    pub fn would_change(&self, settings: &Settings, names: &Names) -> Result<(), String> {
-        self.generations.borrow().fits(settings, names)
+    pub fn check_settings(&self, settings: &Settings, names: &Names) -> Result<(), String> {
+        self.generations.borrow().check_change(settings, names)
     }
 
     /// Accepts and serves connections until `stop`, then finishes the accepted requests.
@@ -160,9 +160,10 @@
                 () = self.clone().accept(&listener), if self.serving.accepts() => {}
             }
         }
-        let longest = Duration::from_secs_f64(self.generations.borrow().longest().min(1e6) / 1000.0);
+        let longest =
+            Duration::from_secs_f64(self.generations.borrow().longest_deadline_ms().min(1e6) / 1000.0);
         let stopped_at = self.upstreams.view().arrived_at();
-        self.inbox.put(Input::Shutdown(stopped_at + longest.min(self.grace) + LAST_ANSWER_AFTER));
+        self.inbox.send(Input::Shutdown(stopped_at + longest.min(self.grace) + LAST_ANSWER_AFTER));
         // If another process accepts from the same queue, nothing in it is lost. That is a newer process, or the previous
         // one while this one has not served yet.
         let other_process_accepts = !self.serving.accepts();
--- a/crates/sandgap/src/front/receive.rs
+++ b/crates/sandgap/src/front/receive.rs
@@ -45,7 +45,7 @@
         let Ok(data) = frame.map_err(|_| BodyFault::Malformed)?.into_data() else { continue };
         pace.received(Instant::now(), data.len());
         chunks.push(data);
-        if pace.passed() > body::WHOLE as u64 {
+        if pace.passed() > body::MAX_BUFFERED_BODY as u64 {
             let (budget, view) = (read_ahead.clone(), view.clone());
             let upload = Upload::new(body::join(chunks), incoming, pace, length, budget, view);
             return Ok(Received { body: Payload::Long(upload), has_waited: pace.has_waited() });
--- a/crates/sandgap/src/generation.rs
+++ b/crates/sandgap/src/generation.rs
@@ -78,7 +78,7 @@
     }
 
     /// The longest deadline of any class that has been in force, in ms.
-    pub fn longest(&self) -> f64 {
+    pub fn longest_deadline_ms(&self) -> f64 {
         self.longest
     }
 
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// See [`Generations::change`].
-    pub fn fits(&self, settings: &Settings, names: &Names) -> Result<(), String> {
+    pub fn check_change(&self, settings: &Settings, names: &Names) -> Result<(), String> {
         self.assign_class_numbers(settings, names).map(drop)?;
         self.check_tenant_limit(names)
     }
@@ -221,7 +221,7 @@
         );
         assert_eq!(change_sent.live, [false, true, true]);
         assert_eq!(change_sent.settings.classes[0].deadline, 900.0, "earlier requests keep the old deadline");
-        assert_eq!(g.longest(), 900.0);
+        assert_eq!(g.longest_deadline_ms(), 900.0);
     }
 
     #[test]
--- a/crates/sandgap/src/handover.rs
+++ b/crates/sandgap/src/handover.rs
@@ -167,7 +167,7 @@
     async fn wait_for_newer(&self) {
         self.serving.ready().await;
         loop {
-            let published = retry::until_had("upgrade", || Published::new(&self.path)).await;
+            let published = retry::retry_transient("upgrade", || Published::new(&self.path)).await;
             let published = match published {
                 Ok(published) => published,
                 Err(e) => {
@@ -275,7 +275,7 @@
                 if usize::from(size) > MAX_MESSAGE_BYTES || read.read_exact(&mut bytes).await.is_err() {
                     return;
                 }
-                inbox.put(Input::Datagram { from, bytes });
+                inbox.send(Input::Datagram { from, bytes });
             }
             _ => return,
         }
--- a/crates/sandgap/src/peers.rs
+++ b/crates/sandgap/src/peers.rs
@@ -83,7 +83,7 @@
     }
 
     /// Sends a message to every other proxy. What the socket can't accept at once is lost, as on the network.
-    pub fn tell(&self, bytes: &[u8]) {
+    pub fn broadcast(&self, bytes: &[u8]) {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return note!(warn:
                 "peers: a message of {} bytes is not sent; the limit is {MAX_MESSAGE_BYTES} bytes", bytes.len()
@@ -107,7 +107,7 @@
                 Ok((size, from)) => match self.numbers.get(&from) {
                     Some(&number) if size <= MAX_MESSAGE_BYTES => {
                         self.relay_datagram(number, &buffer[..size]);
-                        inbox.put(Input::Datagram { from: number, bytes: buffer[..size].to_vec() });
+                        inbox.send(Input::Datagram { from: number, bytes: buffer[..size].to_vec() });
                     }
                     _ => note!(warn: "a datagram of {size} bytes or more from {from} is dropped"),
                 },
--- a/crates/sandgap/src/retry.rs
+++ b/crates/sandgap/src/retry.rs
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// The last error of the call.
-pub async fn until_had<T>(what: &str, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub async fn retry_transient<T>(what: &str, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for delay in delays() {
         match call() {
             Err(e) if is_transient(&e) => {
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// The last error of the call.
-pub fn until_had_blocking<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_transient_blocking<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for delay in delays() {
         match call() {
             Err(e) if is_transient(&e) => std::thread::sleep(delay),
@@ -70,13 +70,13 @@
     #[test]
     fn transient_errors_are_retried_and_others_returned() {
         let mut left = 3;
-        let had = until_had_blocking(|| {
+        let had = retry_transient_blocking(|| {
             left -= 1;
             if left > 0 { Err(Errno::NFILE.into()) } else { Ok(left) }
         });
         assert_eq!(had.expect("the call succeeds in the end"), 0);
         let mut calls = 0;
-        let wrong: io::Result<()> = until_had_blocking(|| {
+        let wrong: io::Result<()> = retry_transient_blocking(|| {
             calls += 1;
             Err(Errno::ACCESS.into())
         });
--- a/crates/sandgap/src/rules/mod.rs
+++ b/crates/sandgap/src/rules/mod.rs
@@ -40,7 +40,7 @@
 }
 
 /// The result for a request that may be admitted.
-pub struct Taken {
+pub struct Admission {
     /// The lease, for classes that are refused without one.
     pub lease: Option<Rc<dyn Lease>>,
     /// The header that carries the version to backends, if configured.
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// How long the client should wait: the lease has lapsed or there is no version yet, and the class is refused then.
-    pub fn take(self: &Rc<Self>, class: &str) -> Result<Taken, Duration> {
+    pub fn admit(self: &Rc<Self>, class: &str) -> Result<Admission, Duration> {
         let agent = self.agent();
         let leased = agent.borrow().take(now()).map(|taking| taking.version);
         let serves = self.serve_without_lease.borrow().contains(class);
@@ -108,7 +108,7 @@
         };
         let header = self.header.clone().map(|name| (name, HeaderValue::from(version)));
         let lease = (!serves).then(|| self.clone() as Rc<dyn Lease>);
-        Ok(Taken { lease, header })
+        Ok(Admission { lease, header })
     }
 
     /// The last version in force at this proxy.
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -99,7 +99,7 @@
     async fn as_member(parts: Parts, fleet: Fleet) -> Result<Self, String> {
         let on = fleet.listen;
         let what = format!("fleet on {on}");
-        let listener = retry::until_had(&what, || socket::listen(on)).await;
+        let listener = retry::retry_transient(&what, || socket::listen(on)).await;
         let listener = listener.map_err(|e| format!("{what}: {e}"))?;
         let agent = Rc::new(RefCell::new(agent(&fleet)));
         let mut runtime = Self::new(parts, fleet, agent);
@@ -306,7 +306,7 @@
     fn check(&self, rules: &Rulebook) -> Result<(), String> {
         book::check(rules, self.parts.discovery)?;
         let (settings, names) = book::settings(rules, &self.parts.base);
-        self.parts.front.would_change(&settings, &names)
+        self.parts.front.check_settings(&settings, &names)
     }
 
     fn activate(&mut self, version: Version, rules: &Rulebook) {
@@ -328,10 +328,10 @@
     fn put_in_force(&self, rules: &Rulebook) -> Result<(), String> {
         let (settings, names) = book::settings(rules, &self.parts.base);
         let change = self.parts.front.change(&settings, &names)?;
-        self.parts.inbox.put(Input::Change(Box::new(change)));
+        self.parts.inbox.send(Input::Change(Box::new(change)));
         match book::hosts(rules) {
-            Some(hosts) => self.parts.inbox.put(Input::List(Scope::Full, hosts)),
-            None => self.parts.inbox.put(Input::Drains(rules.drained.clone())),
+            Some(hosts) => self.parts.inbox.send(Input::List(Scope::Full, hosts)),
+            None => self.parts.inbox.send(Input::Drains(rules.drained.clone())),
         }
         Ok(())
     }
--- a/crates/sandgap/src/rules/watch.rs
+++ b/crates/sandgap/src/rules/watch.rs
@@ -98,9 +98,9 @@
         let (answer, observed) = oneshot::channel();
         let (number, cohort) = orders.cohort.unzip();
         let cohort = cohort.unwrap_or_default();
-        self.parts.inbox.put(Input::StatusQuery(Box::new(StatusQuery {
-            at: orders.watch,
-            measured,
+        self.parts.inbox.send(Input::StatusQuery(Box::new(StatusQuery {
+            in_flight_at: orders.watch,
+            limits_of: measured,
             cohort,
             answer,
         })));
@@ -111,11 +111,11 @@
             version,
             out: front.serving().is_out(),
             open: u32::try_from(front.busy()).unwrap_or(u32::MAX),
-            held: observed.held,
-            sights: observed.sights.into_iter().map(|(name, held)| Sight { name, held }).collect(),
+            held: observed.in_flight_total,
+            sights: observed.in_flight.into_iter().map(|(name, held)| Sight { name, held }).collect(),
             dialled: missed.is_some(),
             missed: missed.unwrap_or_default(),
-            holds: observed.holds,
+            holds: observed.limits,
             zone: self.zone.clone(),
             ended: ended(observed.ended[1]),
             cohort: number.map(|n| (n, ended(observed.ended[0]))),
--- a/crates/sandgap/src/upstream/mod.rs
+++ b/crates/sandgap/src/upstream/mod.rs
@@ -35,7 +35,7 @@
 
 /// A request's body.
 pub enum Payload {
-    /// At most [`crate::body::WHOLE`] bytes.
+    /// At most [`crate::body::MAX_BUFFERED_BODY`] bytes.
     Short(Bytes),
     /// A longer body, streamed as it arrives.
     Long(Rc<Upload>),
--- a/crates/sandgap/src/upstream/response.rs
+++ b/crates/sandgap/src/upstream/response.rs
@@ -81,7 +81,7 @@
         }
         _ => Outcome::Error,
     };
-    let rest = Limited::new(body, body::WHOLE).collect().await;
+    let rest = Limited::new(body, body::MAX_BUFFERED_BODY).collect().await;
     Ok(ResponsePart::Whole(
         outcome,
         None,
@@ -108,7 +108,7 @@
     mut incoming: Incoming, length: Option<u64>, answer_by: &AnswerBy,
 ) -> Result<Gathered, BodyError> {
     let max_wait = match length {
-        Some(length) if length <= body::WHOLE as u64 => {
+        Some(length) if length <= body::MAX_BUFFERED_BODY as u64 => {
             return Ok(Gathered::Whole(incoming.collect().await?.to_bytes()));
         }
         Some(length) if length > body::MAX_ANSWER_BODY => {
@@ -135,7 +135,7 @@
             size += data.len();
             chunks.push(data);
         }
-        if size > body::WHOLE {
+        if size > body::MAX_BUFFERED_BODY {
             return Ok(Gathered::Partial(body::join(chunks), incoming));
         }
     }
