--- a/crates/sandgap-lab/src/cost.rs
+++ b/crates/sandgap-lab/src/cost.rs
@@ -38,7 +38,7 @@
         effect,
     };
     Settings {
-        me: 0,
+        proxy_index: 0,
         proxies: 1,
         zone: None,
         classes: vec![class(500.0, 3.0, Effect::Safe), class(900.0, 3.0, Effect::Unsafe)],
@@ -48,14 +48,14 @@
         discovery: Discovery::Pushed,
         rating: Rating::Size,
         warm_keys: false,
-        may_tell: false,
+        messages_allowed: false,
         prices: Prices::default(),
         limits: Limits {
             start_capacity: 0.3,
-            cold: 8700.0,
+            cold_ms: 8700.0,
             fall_multiple: 2.5,
-            fall: 1500.0,
-            most_held: 1_000_000,
+            fall_ms: 1500.0,
+            max_held: 1_000_000,
             max_attempts: 6,
         },
     }
--- a/crates/sandgap-lab/src/file.rs
+++ b/crates/sandgap-lab/src/file.rs
@@ -663,7 +663,7 @@
         let f = &self.fleet;
         let zone = (!f.zones.is_empty()).then(|| module::ZoneId(me % f.zones.len() as u32));
         module::Settings {
-            me,
+            proxy_index: me,
             proxies: f.proxies,
             zone,
             classes: self.classes.iter().map(ClassSpec::settings).collect(),
@@ -684,14 +684,14 @@
                 RatingWord::Silent => module::Rating::Silent,
             },
             warm_keys: false,
-            may_tell: f.may_tell && f.proxies > 1,
+            messages_allowed: f.may_tell && f.proxies > 1,
             prices: module::Prices { cross_zone: f.crossing_price },
             limits: module::Limits {
                 start_capacity: self.cold.start,
-                cold: self.cold.warm_ms,
+                cold_ms: self.cold.warm_ms,
                 fall_multiple: self.cold.multiple,
-                fall: self.cold.span_ms,
-                most_held: f.most_held,
+                fall_ms: self.cold.span_ms,
+                max_held: f.most_held,
                 max_attempts: f.max_attempts,
             },
         }
--- a/crates/sandgap-lab/src/rivals.rs
+++ b/crates/sandgap-lab/src/rivals.rs
@@ -125,7 +125,7 @@
             kind,
             classes: cfg.classes.clone(),
             max_attempts: cfg.limits.max_attempts as usize,
-            me: cfg.me as usize,
+            me: cfg.proxy_index as usize,
             rng,
             servers: Vec::new(),
             index: FxHashMap::default(),
--- a/crates/sandgap/src/beliefs.rs
+++ b/crates/sandgap/src/beliefs.rs
@@ -11,7 +11,7 @@
 use metrics::{Recorder, with_local_recorder};
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusRecorder};
 use rustc_hash::FxHashMap;
-use wharfhitch::limit::Why;
+use wharfhitch::limit::ChangeReason;
 use wharfhitch::{BackendId, Belief};
 
 use crate::diagnostics::Event;
@@ -91,7 +91,7 @@
 
     fn should_log(&self, belief: &Belief) -> bool {
         let before = self.last_logged.get(&belief.backend).copied();
-        let is_unchanged = belief.why == Why::Rating && before.is_none();
+        let is_unchanged = belief.why == ChangeReason::Rating && before.is_none();
         let ratio = belief.limit / before.unwrap_or(belief.rated);
         !belief.trial && !is_unchanged && !(1.0 / LOG_RATIO..=LOG_RATIO).contains(&ratio)
     }
@@ -160,7 +160,7 @@
     use super::*;
 
     fn belief(backend: u64, limit: f64) -> Belief {
-        Belief { backend: BackendId(backend), rated: 1.0, limit, trial: false, why: Why::Grew }
+        Belief { backend: BackendId(backend), rated: 1.0, limit, trial: false, why: ChangeReason::Grew }
     }
 
     #[tokio::test]
--- a/crates/sandgap/src/daemon.rs
+++ b/crates/sandgap/src/daemon.rs
@@ -69,9 +69,9 @@
         RestartOnly {
             listen: config.listen,
             sockets: config.sockets,
-            proxy: (s.me, s.proxies, s.zone),
+            proxy: (s.proxy_index, s.proxies, s.zone),
             lists: (s.discovery, s.rating),
-            may_tell: s.may_tell,
+            may_tell: s.messages_allowed,
         }
     }
 }
@@ -203,8 +203,8 @@
                     .await
                     .map_err(context(&on))?,
             };
-            let peers =
-                peers::Peers::new(addresses, config.settings.me, socket, reads).map_err(context(&on))?;
+            let peers = peers::Peers::new(addresses, config.settings.proxy_index, socket, reads)
+                .map_err(context(&on))?;
             spawn_local(peers.clone().receive(inbox.clone()));
             Some(peers)
         }
--- a/crates/sandgap/src/platform.rs
+++ b/crates/sandgap/src/platform.rs
@@ -54,17 +54,17 @@
         return Err("'settings' has no named classes".into());
     }
     // With a wrong number, this proxy would claim another proxy's share of the backends.
-    if settings.me >= settings.proxies {
-        return Err(format!("'settings': proxy number {} of {}", settings.me, settings.proxies));
+    if settings.proxy_index >= settings.proxies {
+        return Err(format!("'settings': proxy number {} of {}", settings.proxy_index, settings.proxies));
     }
     let peers = match (file.peer_listen, file.peers_all) {
-        (Some(listen), Some(all)) if settings.may_tell => {
+        (Some(listen), Some(all)) if settings.messages_allowed => {
             Some(PeerAddresses { listen, peers: file.peers, all })
         }
         _ => None,
     };
     let sockets = file.limits.sockets.unwrap_or(1024).max(64);
-    settings.limits.most_held = max_held_requests(sockets);
+    settings.limits.max_held = max_held_requests(sockets);
     Ok(Config {
         name: file.name,
         listen: file.listen,
--- a/crates/sandgap/src/rules/book.rs
+++ b/crates/sandgap/src/rules/book.rs
@@ -42,9 +42,9 @@
         over_share_worth: s.over_share_worth,
         cross_zone: s.prices.cross_zone,
         start_capacity: s.limits.start_capacity,
-        warm_ms: s.limits.cold,
+        warm_ms: s.limits.cold_ms,
         fall_multiple: s.limits.fall_multiple,
-        fall_ms: s.limits.fall,
+        fall_ms: s.limits.fall_ms,
     };
     Ok(Rulebook { classes, tenants, backends, drained: BTreeSet::new(), limits }.canonical())
 }
@@ -219,9 +219,9 @@
         limits: wharfhitch::Limits {
             max_attempts: l.max_attempts,
             start_capacity: l.start_capacity,
-            cold: l.warm_ms,
+            cold_ms: l.warm_ms,
             fall_multiple: l.fall_multiple,
-            fall: l.fall_ms,
+            fall_ms: l.fall_ms,
             ..base.limits
         },
         ..base.clone()
@@ -278,7 +278,7 @@
         };
         assert_eq!(by_name(&names, &settings), by_name(&config.names, &config.settings));
         assert_eq!(
-            settings.limits.most_held, config.settings.limits.most_held,
+            settings.limits.max_held, config.settings.limits.max_held,
             "this proxy's own settings stay"
         );
     }
--- a/crates/sandgap/src/settings/mod.rs
+++ b/crates/sandgap/src/settings/mod.rs
@@ -253,7 +253,7 @@
     };
     let zone = file.proxy.zone.map(|z| ZoneId(index_of(&mut names.zones, &z) as u32));
     let settings = Settings {
-        me: 0,
+        proxy_index: 0,
         proxies: 1,
         zone,
         classes: file.class.iter().map(class).collect(),
@@ -263,14 +263,14 @@
         discovery: if file.discovery.mode == "asked" { Discovery::OnRequest } else { Discovery::Pushed },
         rating: Rating::Size,
         warm_keys: false,
-        may_tell: false,
+        messages_allowed: false,
         prices: Prices::default(),
         limits: Limits {
             start_capacity: file.cold.start_capacity,
-            cold: file.cold.warm_ms,
+            cold_ms: file.cold.warm_ms,
             fall_multiple: file.cold.fall_multiple,
-            fall: file.cold.fall_ms,
-            most_held: max_held_requests(file.proxy.sockets),
+            fall_ms: file.cold.fall_ms,
+            max_held: max_held_requests(file.proxy.sockets),
             max_attempts: file.limits.max_attempts,
         },
     };
--- a/src/belief.rs
+++ b/src/belief.rs
@@ -1,6 +1,6 @@
 //! Read-only view of the learned limits, for monitoring. Nothing is decided here.
 use crate::interface::*;
-use crate::limit::Why;
+use crate::limit::ChangeReason;
 use crate::state::Balancer;
 
 /// The current estimate of a server's concurrency limit.
@@ -15,7 +15,7 @@
     /// Whether that limit is only being probed at present.
     pub trial: bool,
     /// Reason for the last change of the limit.
-    pub why: Why,
+    pub why: ChangeReason,
 }
 
 impl Balancer {
--- a/src/change.rs
+++ b/src/change.rs
@@ -32,7 +32,7 @@
             over_share_worth,
             worth_by_work,
             prices,
-            limits: Limits { most_held: self.cfg.limits.most_held, ..limits },
+            limits: Limits { max_held: self.cfg.limits.max_held, ..limits },
             ..self.cfg.clone()
         };
         self.allowance.resize(self.cfg.tenants.len(), 1.0);
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -229,7 +229,7 @@
     /// Sheds waiting requests above the `most_held` limit: the least valuable first, and among equals the newest,
     /// which would wait longest. Otherwise they would keep out more valuable requests.
     fn shed(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let most = self.cfg.limits.most_held;
+        let most = self.cfg.limits.max_held;
         let over =
             |s: &Self| s.requests.len() > most && s.requests.values().filter(|r| !r.done).count() > most;
         while self.waiting > 0 && over(self) {
@@ -328,7 +328,8 @@
         let closed = s.by_class[r.class].closed_until > now
             && self.closed_fraction[r.class] <= DISTRUST_CLOSED_FRACTION;
         let heavy = s.in_cold_start
-            && self.expected_latency(r) > COLD_REQUEST_FRACTION * l.fall_multiple * s.warm_fraction * l.fall;
+            && self.expected_latency(r)
+                > COLD_REQUEST_FRACTION * l.fall_multiple * s.warm_fraction * l.fall_ms;
         !r.tried(k) && !closed && !heavy
     }
 
@@ -361,7 +362,7 @@
         let (held, usable_slots) = (f64::from(s.held()), s.total_slots * warm_fraction);
         let own = allowed
             && f64::from(s.own_attempts) < s.own_slots.max(if self.cfg.warm_keys { 1.0 } else { 0.0 });
-        let (free, open) = if !self.cfg.may_tell {
+        let (free, open) = if !self.cfg.messages_allowed {
             (own, own.then_some(band)) // without messages from peers, only this proxy's own slots are safe to use
         } else if own && held < usable_slots && s.own_slots > 0.0 {
             (true, Some(band))
@@ -369,7 +370,7 @@
             // All proxies see the same idle slots of other proxies. Each may borrow only from a random subset of
             // the servers, redrawn every few ticks, so that about one proxy uses each idle slot.
             let chance = (usable_slots - held) / f64::from(self.cfg.proxies);
-            let may_borrow = hash_to_unit(s.info.id.0 ^ ticks, u64::from(self.cfg.me)) < chance;
+            let may_borrow = hash_to_unit(s.info.id.0 ^ ticks, u64::from(self.cfg.proxy_index)) < chance;
             let free = allowed && held + 0.5 < usable_slots;
             (free, (free && may_borrow).then(|| (band + BORROW_BAND_PENALTY).min(SPEED_BANDS - 1)))
         };
@@ -443,7 +444,7 @@
 
     fn send(&mut self, now: Millis, id: RequestId, k: usize, out: &mut Vec<Action>) {
         // Only recent messages from peers can show that the server was idle.
-        let found_idle = self.cfg.may_tell
+        let found_idle = self.cfg.messages_allowed
             && self.message_interval < IDLE_NEWS_FRACTION * self.mean_ms
             && self.servers[k].held() == 0;
         let before = self.dedup_bound(&self.requests[&id]).map(|(.., until)| until);
@@ -654,7 +655,7 @@
                 s.tokens += rate * (now - s.tokens_at);
                 s.tokens_at = now;
                 // Unused sends expire: saved up by many proxies, they could all arrive at once in a surge.
-                let excess = s.tokens - 1.0 - rate * COLD_BURST_FRACTION * self.cfg.limits.fall;
+                let excess = s.tokens - 1.0 - rate * COLD_BURST_FRACTION * self.cfg.limits.fall_ms;
                 s.tokens -= excess.max(0.0).ceil();
             }
             self.update_cost(k, warm_fraction, now);
@@ -687,13 +688,13 @@
     fn broadcast_state(&mut self, now: Millis, out: &mut Vec<Action>) {
         let cost = (HEADER_BYTES + 2 * (self.running.len() + self.abandoned_slots.len())) as f64;
         let due = self.message_credit >= cost || now - self.last_message_at > PEER_STALE_MS / 2.0;
-        if self.cfg.may_tell && self.cfg.proxies > 1 && due {
+        if self.cfg.messages_allowed && self.cfg.proxies > 1 && due {
             // Peers send about as often, so this also estimates the age of their messages.
             self.message_interval += 0.1 * (now - self.last_message_at - self.message_interval);
             (self.message_credit, self.last_message_at) = (self.message_credit - cost, now);
             out.push(Action::Broadcast(pack(self.cfg.zone, &self.servers, now)));
         }
-        if self.cfg.may_tell && self.cfg.proxies > 1 && self.servers.iter().any(|s| s.limit_changed) {
+        if self.cfg.messages_allowed && self.cfg.proxies > 1 && self.servers.iter().any(|s| s.limit_changed) {
             let changed =
                 |s: &mut Server| std::mem::take(&mut s.limit_changed).then(|| (s.info.id, s.limit.known()));
             out.push(Action::Broadcast(pack_limits(self.servers.iter_mut().filter_map(changed))));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -122,13 +122,13 @@
     /// Fraction of its capacity that a newly started server has at least.
     pub start_capacity: f64,
     /// Time after which a started server has its full capacity at the latest.
-    pub cold: Millis,
+    pub cold_ms: Millis,
     /// A cold server falls over if it is sent more than this multiple of its present capacity ...
     pub fall_multiple: f64,
     /// ... for this long.
-    pub fall: Millis,
+    pub fall_ms: Millis,
     /// Maximum number of unanswered requests.
-    pub most_held: usize,
+    pub max_held: usize,
     /// Maximum number of attempts for one request.
     pub max_attempts: u32,
 }
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This proxy's number, counted from 0.
-    pub me: u32,
+    pub proxy_index: u32,
     /// Number of proxies that share the servers.
     pub proxies: u32,
     /// This proxy's zone.
@@ -157,7 +157,7 @@
     /// Whether a server does less work for a key that it has served before.
     pub warm_keys: bool,
     /// Whether messages between proxies are allowed.
-    pub may_tell: bool,
+    pub messages_allowed: bool,
     /// Costs that placement takes into account.
     pub prices: Prices,
     /// Parameters of the rules.
--- a/src/limit.rs
+++ b/src/limit.rs
@@ -9,7 +9,7 @@
 /// Levels of the curve: 1, 2, 3, then two for each doubling; the last holds all from 1448 requests on.
 pub const LEVELS: usize = 21;
 /// Greatest limit, in requests: bounds the work whatever the answers suggest.
-pub const MOST: f64 = 1024.0;
+pub const MAX_LIMIT: f64 = 1024.0;
 /// Lower bound of latencies that count as measurements, in ms.
 const MIN_LATENCY_MS: Millis = 1e-6;
 /// Upper bound of latencies that count as measurements, in ms.
@@ -70,7 +70,7 @@
 
 /// Reason for the last change of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ChangeReason {
     /// Nothing learned yet: the listed rating applies.
     Rating,
     /// A probe is running.
@@ -91,19 +91,19 @@
     Told,
 }
 
-impl Why {
+impl ChangeReason {
     /// The reason in words.
     pub fn text(self) -> &'static str {
         match self {
-            Why::Rating => "roster's rating, nothing learned",
-            Why::Probing => "trying more, as demand waits",
-            Why::Grew => "more requests brought more answers",
-            Why::NoGain => "more requests brought only longer waits",
-            Why::Fits => "fewer requests would bring fewer answers",
-            Why::Unclear => "trying more told nothing",
-            Why::Crowded => "answers slowed as more were held",
-            Why::Full => "it turned requests away",
-            Why::Told => "another proxy told",
+            ChangeReason::Rating => "roster's rating, nothing learned",
+            ChangeReason::Probing => "trying more, as demand waits",
+            ChangeReason::Grew => "more requests brought more answers",
+            ChangeReason::NoGain => "more requests brought only longer waits",
+            ChangeReason::Fits => "fewer requests would bring fewer answers",
+            ChangeReason::Unclear => "trying more told nothing",
+            ChangeReason::Crowded => "answers slowed as more were held",
+            ChangeReason::Full => "it turned requests away",
+            ChangeReason::Told => "another proxy told",
         }
     }
 }
@@ -197,7 +197,7 @@
     probe_step: usize,      // levels by which the next probe goes up
     rejected_fraction: f64, // moving average of the fraction of requests rejected
     has_new_answers: bool,  // answers have arrived since the last review
-    why: Why,
+    why: ChangeReason,
 }
 
 /// A point of the curve: requests held, their latency, and its weight in answers.
@@ -229,7 +229,7 @@
             probe_step: 1,
             rejected_fraction: 0.0,
             has_new_answers: false,
-            why: Why::Rating,
+            why: ChangeReason::Rating,
         }
     }
 
@@ -245,7 +245,7 @@
 
     /// Whether a probe has just raised it. A proxy that found spare capacity goes on probing.
     pub fn growing(&self, now: Millis) -> bool {
-        self.why == Why::Grew && now - self.changed_at < REST_MS.0
+        self.why == ChangeReason::Grew && now - self.changed_at < REST_MS.0
     }
 
     /// The limit, if one is learned or being probed, and whether it is only being probed.
@@ -259,12 +259,12 @@
     }
 
     /// Reason for the last change.
-    pub fn why(&self) -> Why {
+    pub fn why(&self) -> ChangeReason {
         self.why
     }
 
-    fn set(&mut self, now: Millis, slots: Option<f64>, why: Why) {
-        self.slots = slots.map(|s| s.clamp(1.0, MOST));
+    fn set(&mut self, now: Millis, slots: Option<f64>, why: ChangeReason) {
+        self.slots = slots.map(|s| s.clamp(1.0, MAX_LIMIT));
         (self.why, self.changed_at) = (why, now);
     }
 
@@ -307,8 +307,8 @@
         self.current = PeriodStats::default();
         match before {
             // Back to the limit before the probe; the rating applies again if it did then.
-            Some(p) if p.slots > cut - 0.5 => self.set(now, p.from, Why::Full),
-            _ => self.set(now, Some(cut), Why::Full),
+            Some(p) if p.slots > cut - 0.5 => self.set(now, p.from, ChangeReason::Full),
+            _ => self.set(now, Some(cut), ChangeReason::Full),
         }
         true
     }
@@ -336,7 +336,7 @@
                     own: false,
                     reduces: false,
                 });
-                self.set(now, slots, Why::Told);
+                self.set(now, slots, ChangeReason::Told);
             }
             return None;
         }
@@ -349,7 +349,7 @@
             self.pause_probes(now, true); // all proxies pause after it
         }
         (self.probe, self.current) = (None, PeriodStats::default());
-        self.set(now, slots, Why::Told);
+        self.set(now, slots, ChangeReason::Told);
         joined.filter(|p| p.from.is_none()).map(|_| no_gain)
     }
 
@@ -381,7 +381,7 @@
 
     /// Reviews the limit. `probe`: demand waits, every server is full, and this proxy may probe this one; `may_reduce`:
     /// a trial with fewer requests is allowed if their latency is unknown. Returns the reason if the limit changed.
-    pub fn review(&mut self, now: Millis, prior: f64, probe: bool, may_reduce: bool) -> Option<Why> {
+    pub fn review(&mut self, now: Millis, prior: f64, probe: bool, may_reduce: bool) -> Option<ChangeReason> {
         if !std::mem::take(&mut self.has_new_answers) && !probe && !self.overdue(now) {
             return None;
         }
@@ -390,7 +390,7 @@
             Some(probe) if probe.own => return self.finish_probe(now, probe),
             Some(probe) if probe.until <= now => {
                 self.probe = None; // the message of its end was lost
-                self.set(now, probe.from, Why::Unclear);
+                self.set(now, probe.from, ChangeReason::Unclear);
                 return None;
             }
             Some(_) => return None,
@@ -407,7 +407,7 @@
 
     /// Evaluates a probe. Weak evidence is enough to abandon it, strong evidence is required to accept it, because the
     /// requests of other proxies are known only roughly and a server that slows down must not keep the added ones.
-    fn finish_probe(&mut self, now: Millis, probe: Probe) -> Option<Why> {
+    fn finish_probe(&mut self, now: Millis, probe: Probe) -> Option<ChangeReason> {
         let (old, new) = (self.current, probe.seen);
         let held_ratio = new.held / old.held;
         let latency_ratio = new.latency / old.latency;
@@ -423,16 +423,16 @@
         self.probe = None;
         if gained {
             (self.probe_step, self.pause_ms, self.pause_until, self.current) = (2, REST_MS.0, now, new);
-            self.set(now, self.slots, Why::Grew);
+            self.set(now, self.slots, ChangeReason::Grew);
         } else {
             self.pause_probes(now, no_gain);
-            self.set(now, probe.from, if no_gain { Why::NoGain } else { Why::Unclear });
+            self.set(now, probe.from, if no_gain { ChangeReason::NoGain } else { ChangeReason::Unclear });
         }
         Some(self.why)
     }
 
     /// Removes slots that only add latency. A rating is kept until it is far off.
-    fn cut(&mut self, now: Millis, prior: f64, curve: &[Point]) -> Option<Why> {
+    fn cut(&mut self, now: Millis, prior: f64, curve: &[Point]) -> Option<ChangeReason> {
         let slots = self.slots(prior);
         let (low, top) = (curve.first()?, curve.last()?);
         let (cut_ratio, part) = if self.learned() { CUT_BOUNDS } else { CUT_BOUNDS_RATED };
@@ -450,12 +450,14 @@
         }
         self.pause_probes(now, false);
         self.current = PeriodStats::default();
-        self.set(now, Some(sufficient), Why::Crowded);
+        self.set(now, Some(sufficient), ChangeReason::Crowded);
         Some(self.why)
     }
 
     /// Begins a probe of the next level if the present one is known.
-    fn begin_probe(&mut self, now: Millis, prior: f64, may_reduce: bool, curve: &[Point]) -> Option<Why> {
+    fn begin_probe(
+        &mut self, now: Millis, prior: f64, may_reduce: bool, curve: &[Point],
+    ) -> Option<ChangeReason> {
         let (slots, current) = (self.slots(prior), self.current);
         let answers: f64 = self.levels.iter().map(|l| l.weight(now)).sum();
         // The rate of answers, over the time in which they fade or since the last change. With too few answers a probe
@@ -473,28 +475,28 @@
             // Low enough to show the doubled latency at which a rating is cut.
             level_start(level_of(slots).saturating_sub(if self.learned() { 2 } else { 4 }))
         } else {
-            level_start(level_of(slots.max(current.held)) + self.probe_step).max(slots + 1.0).min(MOST)
+            level_start(level_of(slots.max(current.held)) + self.probe_step).max(slots + 1.0).min(MAX_LIMIT)
         };
         let span = (PROBE_LATENCIES * current.latency).clamp(PROBE_MS.0, PROBE_MS.1);
         let (until, seen) = (now + span, PeriodStats::default());
         self.probe = Some(Probe { from: self.slots, slots, until, seen, own: true, reduces });
-        self.set(now, Some(to), Why::Probing);
+        self.set(now, Some(to), ChangeReason::Probing);
         Some(self.why)
     }
 
     /// Ends a trial with fewer requests: their latency is now known, and a cut may follow.
-    fn finish_reduction(&mut self, now: Millis, prior: f64, probe: Probe) -> Option<Why> {
+    fn finish_reduction(&mut self, now: Millis, prior: f64, probe: Probe) -> Option<ChangeReason> {
         if probe.seen.count < 2.0 * MIN_ANSWERS && !self.overdue(now) {
             return None;
         }
         self.probe = None;
-        self.set(now, probe.from, Why::Fits);
+        self.set(now, probe.from, ChangeReason::Fits);
         let (points, n) = self.curve(now);
         let cut = self.cut(now, prior, &points[..n]);
         if cut.is_some() {
             (self.reduction_at, self.pause_until) = (now, now); // a further cut may be possible
         }
-        cut.or(Some(Why::Fits))
+        cut.or(Some(ChangeReason::Fits))
     }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -105,7 +105,7 @@
     let (ceilings, rules, prices) = (&params["ceilings"], &params["rules"], &params["prices"]);
     let zone = params["zone"].as_str().map(|z| ZoneId(index_of(&mut names.zones, z) as u32));
     let settings = Settings {
-        me: number_or(params, "myNumber", 0.0) as u32,
+        proxy_index: number_or(params, "myNumber", 0.0) as u32,
         proxies: number_or(params, "nInstances", 1.0).clamp(1.0, 65_536.0) as u32,
         zone,
         classes: array(params, "classes").iter().map(parse_class).collect(),
@@ -125,14 +125,14 @@
             _ => Rating::Silent,
         },
         warm_keys: bool_or(&params["extra"], "warmKeys", false),
-        may_tell: bool_or(ceilings, "mayTell", false),
+        messages_allowed: bool_or(ceilings, "mayTell", false),
         prices: Prices { cross_zone: number_or(prices, "crossZone", 0.0) },
         limits: Limits {
             start_capacity: number_or(rules, "startCapacity", 0.0),
-            cold: number_or(rules, "cold", 30_000.0),
+            cold_ms: number_or(rules, "cold", 30_000.0),
             fall_multiple: number_or(rules, "fallMultiple", 1.0),
-            fall: number_or(rules, "fall", 1000.0),
-            most_held: usize::MAX,
+            fall_ms: number_or(rules, "fall", 1000.0),
+            max_held: usize::MAX,
             max_attempts: number_or(ceilings, "maxAttempts", 1.0).max(1.0) as u32,
         },
     };
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -2,7 +2,7 @@
 //! the proxies' shares and the limits learned in `src/limit.rs`.
 use crate::choice::{LATE_AIM_FRACTION, MIN_WINDOW};
 use crate::interface::*;
-use crate::limit::{MOST, Why};
+use crate::limit::{ChangeReason, MAX_LIMIT};
 use crate::state::*;
 
 /// Requests that a core may hold; slightly more than one keeps it busy between answers.
@@ -23,7 +23,9 @@
     /// long, in proportion to (1 + cv²) / slots (Pollaczek and Khinchine).
     pub(crate) fn shares_slots(&self) -> bool {
         let own = self.mean_slots * self.servers.len() as f64 / f64::from(self.cfg.proxies);
-        !self.cfg.may_tell && self.cfg.proxies > 1 && own < POOLING_MIN_SLOTS * self.latency_spread.0 / 2.0
+        !self.cfg.messages_allowed
+            && self.cfg.proxies > 1
+            && own < POOLING_MIN_SLOTS * self.latency_spread.0 / 2.0
     }
 
     /// Requests that this proxy may have in flight.
@@ -78,8 +80,9 @@
         let near = |i: &u32| self.zones[*i as usize].is_none() || self.zones[*i as usize] == info.zone;
         let any = (0..self.cfg.proxies).any(|i| near(&i));
         let near = || (0..self.cfg.proxies).filter(|i| near(i) || !any);
-        let is_own = |slot: &u32| hash_owner(info.id.0 ^ u64::from(*slot), near()) == Some(self.cfg.me);
-        (0..slots.min(MOST as u32)).filter(is_own).count() as u32 // bounds the work whatever rating a list holds
+        let is_own =
+            |slot: &u32| hash_owner(info.id.0 ^ u64::from(*slot), near()) == Some(self.cfg.proxy_index);
+        (0..slots.min(MAX_LIMIT as u32)).filter(is_own).count() as u32 // bounds the work whatever rating a list holds
     }
 
     /// Estimated requests at a server: if no peer has reported, each is assumed to have as many there as this proxy.
@@ -115,7 +118,7 @@
     /// interval of their own clock, so that only one probes at a time.
     fn may_probe(&self, now: Millis, k: usize) -> bool {
         let (s, span) = (&self.servers[k], (now / PROBE_TURN_MS) as u64);
-        let turn = || hash_owner(s.info.id.0 ^ span, 0..self.cfg.proxies) == Some(self.cfg.me);
+        let turn = || hash_owner(s.info.id.0 ^ span, 0..self.cfg.proxies) == Some(self.cfg.proxy_index);
         let due = || {
             let chance = hash_to_unit(span, s.info.id.0);
             s.limit.learned() || self.kinds[s.kind].ratings.may_try(now, chance)
@@ -140,8 +143,10 @@
             {
                 s.limit_changed = true;
                 match why {
-                    Why::Grew if rated => self.kinds[s.kind].ratings.failed(),
-                    Why::NoGain | Why::Fits if rated => self.kinds[s.kind].ratings.held(now),
+                    ChangeReason::Grew if rated => self.kinds[s.kind].ratings.failed(),
+                    ChangeReason::NoGain | ChangeReason::Fits if rated => {
+                        self.kinds[s.kind].ratings.held(now)
+                    }
                     _ => {}
                 }
                 self.update_slots(k);
--- a/src/state.rs
+++ b/src/state.rs
@@ -548,7 +548,7 @@
     /// The fraction of its capacity that a server certainly has: it warms up at least linearly.
     pub(crate) fn warm_fraction(&self, k: usize, now: Millis) -> f64 {
         let l = &self.cfg.limits;
-        let age = self.servers[k].info.since.map_or(1.0, |since| ((now - since) / l.cold).clamp(0.0, 1.0));
+        let age = self.servers[k].info.since.map_or(1.0, |since| ((now - since) / l.cold_ms).clamp(0.0, 1.0));
         l.start_capacity + (1.0 - l.start_capacity) * age
     }
 
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -115,7 +115,7 @@
 #[test]
 fn a_few_slow_servers_take_no_slots_from_the_healthy_ones_of_their_kind() {
     // Run ib2a989: three of fourteen servers were eight times slower, and the slots of all others shrank.
-    let with_messages = Settings { may_tell: true, ..settings(1) };
+    let with_messages = Settings { messages_allowed: true, ..settings(1) };
     let mut harness = Harness::new(with_messages, (1..=10).map(server).collect());
     harness.train(0, 300, |_| 40.0);
     let (sent, _) = harness.drive(20_000, 2, |to, _| if to <= 7 { 600.0 } else { 40.0 });
@@ -127,7 +127,7 @@
 #[test]
 fn queueing_at_one_core_servers_does_not_shrink_the_slots_of_others() {
     // Run i30d937: one-core servers that held two requests looked slow, so that others seemed to have few cores.
-    let with_messages = Settings { may_tell: true, ..settings(2) };
+    let with_messages = Settings { messages_allowed: true, ..settings(2) };
     let big = |id| Backend { kind: Some(KindId(1)), rating: 8.0, ..server(id) };
     let list: Vec<Backend> =
         (1..=8).map(|id| Backend { rating: 1.6, ..server(id) }).chain((11..=14).map(big)).collect();
@@ -142,7 +142,7 @@
 #[test]
 fn an_unmeasured_kind_gets_half_its_slots() {
     // Run La59078: a fleet congested from the first second took that latency as its baseline and stayed congested.
-    let with_messages = Settings { may_tell: true, ..settings(1) };
+    let with_messages = Settings { messages_allowed: true, ..settings(1) };
     let list = vec![Backend { rating: 8.0, ..server(1) }];
     let first = burst(&mut Harness::new(with_messages.clone(), list.clone()), 1000, 20).len();
     assert!((4..=6).contains(&first), "half of 8.8 slots at first: {first}");
@@ -161,7 +161,8 @@
     let mut at = vec![0u32; 20];
     for me in 0..n {
         let base = settings(n);
-        let mut harness = Harness::new(Settings { me, may_tell: true, ..base }, list.clone());
+        let mut harness =
+            Harness::new(Settings { proxy_index: me, messages_allowed: true, ..base }, list.clone());
         for (_, to) in burst(&mut harness, 0, 40) {
             at[to as usize] += 1;
         }
@@ -179,7 +180,7 @@
     let mut without = 0;
     for me in 0..50 {
         let base = settings(250);
-        let mut harness = Harness::new(Settings { me, ..base }, (0..60).map(small).collect());
+        let mut harness = Harness::new(Settings { proxy_index: me, ..base }, (0..60).map(small).collect());
         harness.pass(1500.0);
         let sent = burst(&mut harness, 0, 30);
         assert!(sent.len() <= 20, "a small part of the fleet only: {}", sent.len());
@@ -211,8 +212,10 @@
 fn every_proxy_gives_a_key_the_same_home() {
     let home = |me: u32| {
         let base = settings(5);
-        let mut harness =
-            Harness::new(Settings { me, warm_keys: true, ..base }, (0..12).map(server).collect());
+        let mut harness = Harness::new(
+            Settings { proxy_index: me, warm_keys: true, ..base },
+            (0..12).map(server).collect(),
+        );
         let ask = |id, key| Event::Request {
             id: RequestId(id),
             class: ClassId(0),
@@ -328,7 +331,8 @@
     let small = |id| Backend { rating: 1.0, ..server(id) };
     let mut holders = std::collections::HashMap::<u64, usize>::new();
     for me in 0..8 {
-        let mut harness = Harness::new(Settings { me, ..settings(8) }, (0..160).map(small).collect());
+        let mut harness =
+            Harness::new(Settings { proxy_index: me, ..settings(8) }, (0..160).map(small).collect());
         harness.pass(1500.0);
         let sent = burst(&mut harness, 0, 60);
         assert!((8..=40).contains(&sent.len()), "{} of 20 slots in the mean", sent.len());
@@ -375,7 +379,7 @@
     // In long runs each replaced server kept its record, and all of them were reviewed ten times per second.
     for warm_keys in [false, true] {
         let mut harness =
-            Harness::new(Settings { warm_keys, may_tell: true, ..settings(2) }, vec![server(0)]);
+            Harness::new(Settings { warm_keys, messages_allowed: true, ..settings(2) }, vec![server(0)]);
         harness.give(request(1, 2, 1e9)); // keyed: the first server must be known until the request ends
         let entry = |id: u64, state| Backend { state, ..server(id) };
         for id in 1..3000 {
@@ -402,7 +406,7 @@
 fn above_most_held_the_least_valuable_requests_are_shed_at_once() {
     // At four times the load, hopeless requests occupied all connections, and new requests were not accepted at all.
     let mut settings = settings(1);
-    settings.limits.most_held = 20;
+    settings.limits.max_held = 20;
     settings.classes[0].worth = 0.1;
     let mut harness = Harness::new(settings, vec![server(1)]);
     let mut given_up = vec![];
@@ -426,7 +430,7 @@
 #[test]
 fn a_baseline_that_is_too_low_costs_slots_only_temporarily() {
     // After a reload, a lucky start was taken as the baseline, and only a third of the slots was used for ten seconds.
-    let with_messages = Settings { may_tell: true, ..settings(1) };
+    let with_messages = Settings { messages_allowed: true, ..settings(1) };
     let mut harness = Harness::new(with_messages, vec![Backend { rating: 8.0, ..server(1) }]);
     harness.train(0, 120, |_| 20.0);
     harness.train(1000, 400, |_| 50.0);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -16,13 +16,13 @@
 fn fleet_settings(proxies: u32, me: u32) -> Settings {
     let limits = Limits {
         start_capacity: 0.3,
-        cold: 8700.0,
+        cold_ms: 8700.0,
         fall_multiple: 2.5,
-        fall: 1500.0,
+        fall_ms: 1500.0,
         max_attempts: 4,
-        most_held: usize::MAX,
+        max_held: usize::MAX,
     };
-    Settings { me, limits, ..settings(proxies) }
+    Settings { proxy_index: me, limits, ..settings(proxies) }
 }
 
 fn sized(id: u64, cores: f64) -> Backend {
@@ -117,11 +117,11 @@
     fn worst(&self, born: Millis) -> (f64, usize, f64) {
         let limits = fleet_settings(1, 0).limits;
         let load = |&at: &Millis| {
-            let from = at - limits.fall;
+            let from = at - limits.fall_ms;
             let got = self.sent.iter().filter(|t| **t > from && **t <= at).count();
-            let age = ((from.max(born) - born) / limits.cold).clamp(0.0, 1.0);
+            let age = ((from.max(born) - born) / limits.cold_ms).clamp(0.0, 1.0);
             let warm_fraction = limits.start_capacity + (1.0 - limits.start_capacity) * age;
-            let capacity = limits.fall_multiple * warm_fraction * self.cores / WORK * limits.fall;
+            let capacity = limits.fall_multiple * warm_fraction * self.cores / WORK * limits.fall_ms;
             (got as f64 / (capacity + 2.0 * capacity.sqrt() + 2.0), got, capacity)
         };
         self.sent.iter().map(load).max_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, 0, 0.0))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,7 +12,7 @@
 /// Three classes (safe, unsafe, keyed by cell), pushed lists, ratings that give the size.
 pub fn settings(proxies: u32) -> Settings {
     Settings {
-        me: 0,
+        proxy_index: 0,
         proxies,
         zone: Some(ZoneId(0)),
         classes: vec![class(Effect::Safe, 800.0), class(Effect::Unsafe, 1200.0), class(KEYED, 800.0)],
@@ -22,15 +22,15 @@
         discovery: Discovery::Pushed,
         rating: Rating::Size,
         warm_keys: false,
-        may_tell: false,
+        messages_allowed: false,
         prices: Prices::default(),
         limits: Limits {
             start_capacity: 0.2,
-            cold: 10_000.0,
+            cold_ms: 10_000.0,
             fall_multiple: 3.0,
-            fall: 2000.0,
+            fall_ms: 2000.0,
             max_attempts: 4,
-            most_held: usize::MAX,
+            max_held: usize::MAX,
         },
     }
 }
@@ -319,14 +319,14 @@
             ended: false,
             may_have_run: true,
         });
-        if let Some(since) = server.since.filter(|s| now - s < limits.cold) {
+        if let Some(since) = server.since.filter(|s| now - s < limits.cold_ms) {
             let sent = self.cold.entry(to).or_default();
             sent.push(now);
-            sent.retain(|t| *t > now - limits.fall);
+            sent.retain(|t| *t > now - limits.fall_ms);
             // If every proxy did the same: certain capacity over the window, plus one request per proxy as tolerance.
-            let age = ((now - since) / limits.cold).clamp(0.0, 1.0);
+            let age = ((now - since) / limits.cold_ms).clamp(0.0, 1.0);
             let part = limits.start_capacity + (1.0 - limits.start_capacity) * age;
-            let budget = limits.fall_multiple * part * server.rating * limits.fall;
+            let budget = limits.fall_multiple * part * server.rating * limits.fall_ms;
             let alike = f64::from(self.settings.proxies);
             let push = (sent.len() as f64 - 1.0) * alike * self.work;
             if push > budget {
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -1,5 +1,5 @@
 //! The learned limit: it grows only where demand shows that more requests pay off, and it recovers from disturbances.
-use wharfhitch::limit::{Limit, MOST, Ratings, Why};
+use wharfhitch::limit::{ChangeReason, Limit, MAX_LIMIT, Ratings};
 
 /// Interval between reviews, in ms.
 const REVIEW_INTERVAL_MS: f64 = 100.0;
@@ -22,7 +22,7 @@
     }
 
     /// Simulates a number of reviews; returns the reason for each change of the limit.
-    fn run(&mut self, reviews: usize, latency: impl Fn(f64) -> f64) -> Vec<Why> {
+    fn run(&mut self, reviews: usize, latency: impl Fn(f64) -> f64) -> Vec<ChangeReason> {
         let mut moves = Vec::new();
         for _ in 0..reviews {
             let held = self.slots().floor().max(1.0);
@@ -64,8 +64,9 @@
 #[test]
 fn an_accurate_rating_is_probed_ever_more_rarely_and_kept() {
     let mut p = SimulatedServer::new(12.0);
-    let tries: Vec<usize> =
-        (0..4).map(|_| p.run(150, cores(11.0)).iter().filter(|w| **w == Why::Probing).count()).collect();
+    let tries: Vec<usize> = (0..4)
+        .map(|_| p.run(150, cores(11.0)).iter().filter(|w| **w == ChangeReason::Probing).count())
+        .collect();
     assert!((10.0..15.0).contains(&p.slots()), "{}", p.slots());
     assert!(tries[3] < tries[0] && tries[3] <= 4, "{tries:?}");
 }
@@ -164,7 +165,7 @@
                 _ => drop(limit.review(now, prior, rng.bool(), rng.bool())),
             }
             let (slots, _) = limit.known();
-            assert!(slots.is_none_or(|s| (1.0..=MOST).contains(&s)), "seed {seed}: {slots:?}");
+            assert!(slots.is_none_or(|s| (1.0..=MAX_LIMIT).contains(&s)), "seed {seed}: {slots:?}");
         }
     }
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -196,8 +196,13 @@
 fn variants() -> Vec<Settings> {
     let base = settings(4);
     let mut all = vec![base.clone(), Settings { warm_keys: true, ..base.clone() }];
-    all.push(Settings { may_tell: true, proxies: 9, ..base.clone() });
-    all.push(Settings { may_tell: true, warm_keys: true, discovery: Discovery::OnRequest, ..base.clone() });
+    all.push(Settings { messages_allowed: true, proxies: 9, ..base.clone() });
+    all.push(Settings {
+        messages_allowed: true,
+        warm_keys: true,
+        discovery: Discovery::OnRequest,
+        ..base.clone()
+    });
     let mut one = Settings { rating: Rating::Silent, tenants: vec![Tenant { allowance_per_s: 3.0 }], ..base };
     one.limits.max_attempts = 2;
     one.classes.remove(0);
--- a/tests/unrated.rs
+++ b/tests/unrated.rs
@@ -6,7 +6,7 @@
 
 fn unrated(proxies: u32, may_tell: bool, aim: Millis) -> Settings {
     let classes = vec![class(Effect::Safe, aim)];
-    Settings { rating: Rating::Silent, may_tell, classes, ..settings(proxies) }
+    Settings { rating: Rating::Silent, messages_allowed: may_tell, classes, ..settings(proxies) }
 }
 
 /// Requests that one of `proxies` has in flight at 12 servers when many arrive at once, after answers of 25 ms.
