--- a/crates/sandgap-driver/src/core.rs
+++ b/crates/sandgap-driver/src/core.rs
@@ -75,8 +75,8 @@
     fn listed(&mut self, scope: Scope, has_backends: bool);
     /// The module requested an action that is not allowed; it was not performed.
     fn violation(&mut self, violation: Violation, request: RequestId);
-    /// An answer is given more than [`MAX_ANSWER_DELAY`] after its client's deadline: there was a standstill of the process or
-    /// its machine, or the answer was delayed elsewhere.
+    /// An answer is given more than [`MAX_ANSWER_DELAY`] after its client's deadline: there was a standstill of the process
+    /// or its machine, or the answer was delayed elsewhere.
     fn late_answer(&mut self, _request: RequestId) {}
     /// An attempt that the module requested was not started.
     fn denied(&mut self, _request: RequestId, _attempt: u32, _denial: Denial) {}
--- a/crates/sandgap/src/driver.rs
+++ b/crates/sandgap/src/driver.rs
@@ -272,7 +272,8 @@
         let add = |(a, f): (u64, u64), (all, failed): (u64, u64)| (a + all, f + failed);
         let cohort_ended = cohort.iter().map(|name| self.core.ended_at(id(name))).fold((0, 0), add);
         let ended = [cohort_ended, self.core.ended_at_all()];
-        let _ = answer.send(StatusReply { in_flight, in_flight_total, limits, ended }); // fails if the asking task has ended
+        // Fails if the asking task has ended.
+        let _ = answer.send(StatusReply { in_flight, in_flight_total, limits, ended });
     }
 
     fn now(&self) -> Time {
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -83,7 +83,7 @@
 const RETRIES_PER_ARRIVAL: f64 = 0.15;
 /// Load that all proxies together send to a cold server, as a fraction of the load that makes it fall over.
 const COLD_LOAD_FRACTION: f64 = 0.5;
-/// Time for which unused sends to a cold server accumulate, as a fraction of the `fall` limit.
+/// Time for which unused sends to a cold server accumulate, as a fraction of the `fall_ms` limit.
 const COLD_BURST_FRACTION: f64 = 0.25;
 /// Largest fraction of a cold server's budget that one request may take.
 const COLD_REQUEST_FRACTION: f64 = 0.25;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// The highest load of the cold server within `fall`, relative to its capacity plus random variation (at most 1 is
-    /// allowed), with the sends and the capacity.
+    /// The highest load of the cold server within `fall_ms`, relative to its capacity plus random variation (at most 1
+    /// is allowed), with the sends and the capacity.
     fn worst(&self, born: Millis) -> (f64, usize, f64) {
         let limits = fleet_settings(1, 0).limits;
         let load = |&at: &Millis| {
@@ -168,7 +168,7 @@
         let mut fleet = Fleet::new(proxies, CORES);
         let born = fleet.harnesses[0].now;
         fleet.announce(born, 0..proxies as usize);
-        // A tenth of the proxies at a time, all within `fall`, under load.
+        // A tenth of the proxies at a time, all within `fall_ms`, under load.
         for part in 0..10 {
             for i in (0..proxies as usize).filter(|i| i % 10 == part) {
                 fleet.restart(i, born);
