--- a/crates/sandgap/tests/failing_folders.rs
+++ b/crates/sandgap/tests/failing_folders.rs
@@ -80,7 +80,7 @@
     for (round, attempts) in [(1, 3), (2, 5)] {
         fleet.fail_folder(true);
         fleet.publish(attempts);
-        wait_for("a failed disk", || proxies[0].log_count("votes no more") >= round);
+        wait_for("a failed disk", || proxies[0].log_count("does not vote until") >= round);
         // It may also be killed before its disk is well.
         if round == 2 {
             proxies[0] = fleet.start(0);
