--- a/crates/sandgap/src/log.rs
+++ b/crates/sandgap/src/log.rs
@@ -58,7 +58,7 @@
     };
 }
 
-/// Waits up to [`FLUSH_TIMEOUT`] until all queued lines are written.
+/// Waits up to `FLUSH_TIMEOUT` until all queued lines are written.
 pub fn finish() {
     let (done, written) = sync_channel(1);
     if WRITER.get().is_some_and(|writer| writer.try_send(Message::Finish(done)).is_ok()) {
