--- a/crates/sandgap-rig/src/backend.rs
+++ b/crates/sandgap-rig/src/backend.rs
@@ -210,7 +210,7 @@
         self.handled.set(self.handled.get() + 1);
         let request = message.header("x-request-id").and_then(|id| world.request(id));
         let attempt = world.attempt();
-        let came = Record::Came {
+        let came = Record::AttemptReceived {
             attempt,
             request,
             backend: self.number as u16,
@@ -250,7 +250,7 @@
             Taken::Falls => {
                 if !fallen {
                     let (backend, at) = (self.number as u16, world.now());
-                    world.note(Writer::Backends, Record::Fell { backend, at });
+                    world.note(Writer::Backends, Record::BackendOverloaded { backend, at });
                 }
                 self.end();
                 reset(&conn.stream);
@@ -292,7 +292,8 @@
 
 impl Drop for Over<'_> {
     fn drop(&mut self) {
-        self.world.note(Writer::Backends, Record::Over { attempt: self.attempt, ran: self.ran.get() });
+        self.world
+            .note(Writer::Backends, Record::AttemptEnded { attempt: self.attempt, ran: self.ran.get() });
         self.world.over();
     }
 }
--- a/crates/sandgap-rig/src/client.rs
+++ b/crates/sandgap-rig/src/client.rs
@@ -179,14 +179,14 @@
         };
         // A client's time runs from its last byte.
         let deadline = if r.upload.is_some() { world.now() + (left * 1000.0) as Micros } else { deadline };
-        let asked = Record::Asked { request: number as u32, proxy: proxy as u16, at, deadline };
+        let asked = Record::Submitted { request: number as u32, proxy: proxy as u16, at, deadline };
         if wrote.is_err() && !used {
             continue; // reset before a byte of it was taken
         }
         world.note(Writer::Clients, asked);
         let end = wait(&world, number, &mut conn, used, deadline).await;
         let (request, at) = (number as u32, world.now());
-        world.note(Writer::Clients, Record::Got { request, at, end: end.0 });
+        world.note(Writer::Clients, Record::Finished { request, at, end: end.0 });
         if end.1 {
             front.park(proxy, conn);
         }
--- a/crates/sandgap-rig/src/discovery.rs
+++ b/crates/sandgap-rig/src/discovery.rs
@@ -230,7 +230,7 @@
     fn note(&self, proxy: usize, entry: usize, health: Health) {
         let backend = self.entries.borrow()[entry].backend.number as u16;
         let (proxy, up, at) = (proxy as u16, health == Health::Up, self.world.now());
-        self.world.note(Writer::Discovery, Record::Told { proxy, backend, up, at });
+        self.world.note(Writer::Discovery, Record::HealthTold { proxy, backend, up, at });
     }
 
     async fn serve(self: Rc<Self>, proxy: usize, listener: TcpListener) {
--- a/crates/sandgap-rig/src/run.rs
+++ b/crates/sandgap-rig/src/run.rs
@@ -317,10 +317,10 @@
         }
         self.busy.borrow_mut()[p] = true;
         self.killed.borrow_mut()[p] = true;
-        self.world.note(Writer::Runner, Record::Killed { proxy: p as u16, at: self.world.now() });
+        self.world.note(Writer::Runner, Record::ProxyKilled { proxy: p as u16, at: self.world.now() });
         self.proxies[p].kill();
         // What reaches its port from here on meets nobody.
-        self.world.note(Writer::Runner, Record::Killed { proxy: p as u16, at: self.world.now() });
+        self.world.note(Writer::Runner, Record::ProxyKilled { proxy: p as u16, at: self.world.now() });
     }
 
     fn restart(self: &Rc<Self>, p: usize) {
@@ -352,7 +352,7 @@
         let Some(from) = self.stopped.borrow_mut()[p].take() else { return };
         self.proxies[p].signal(Signal::CONT);
         let to = self.world.now();
-        self.world.note(Writer::Runner, Record::Paused { proxy: p as u16, from, to });
+        self.world.note(Writer::Runner, Record::ProxyPaused { proxy: p as u16, from, to });
         let stage = self.clone();
         spawn_local(async move {
             match stage.proxies[p].up(&stage.world).await {
--- a/crates/sandgap-rig/tests/defects.rs
+++ b/crates/sandgap-rig/tests/defects.rs
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_ledger_that_loses_a_line_says_so() {
-    let ledger = Ledger::that_loses(1000);
+    let ledger = Ledger::losing_every(1000);
     let verdict = play("calm", Kind::Plain, 600, ledger);
     assert!(!verdict.passes() && !verdict.incomplete.is_empty(), "{verdict}");
 }
--- a/crates/sandgap-rules/src/agreement.rs
+++ b/crates/sandgap-rules/src/agreement.rs
@@ -1,8 +1,9 @@
-//! Whether proxies agreed: how long two contradicting versions of the rules were acted on together, by what backends
-//! recorded of the requests that came to them.
+//! Measures for how long proxies acted on two contradicting versions of the fleet's rules at the same time, from the requests
+//! that backends received.
 //!
-//! A version is acted on from the first request that a proxy sent under it to the last. Of two that contradict each
-//! other the later one must not have begun longer than the stated time before the earlier one's last request.
+//! A version is in use from the first request that a proxy sent under it to the last. Of two contradicting versions, the
+//! overlap is the time from the first request under the later one to the last request under the earlier one; the caller bounds
+//! it.
 
 use std::collections::BTreeMap;
 
@@ -13,24 +14,24 @@
 pub struct Acted {
     /// The version.
     pub version: u64,
-    /// Which proxy.
+    /// The proxy that sent it.
     pub proxy: u16,
-    /// When its first byte came.
+    /// When its first byte arrived at the backend.
     pub at: Micros,
 }
 
-/// What two contradicting versions did to each other.
+/// The time during which two contradicting versions were both in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overlap {
-    /// How long both were acted on.
+    /// Duration of the overlap.
     pub span: Micros,
-    /// The earlier version, and who sent its last request when.
+    /// The last request under the earlier version.
     pub old: Acted,
-    /// The later one, and who sent its first.
+    /// The first request under the later version.
     pub new: Acted,
 }
 
-/// Follows versions through a run.
+/// Records the use of versions during a run.
 #[derive(Clone, Debug, Default)]
 pub struct Agreement {
     first: BTreeMap<u64, Acted>,
@@ -38,7 +39,7 @@
 }
 
 impl Agreement {
-    /// Notes a request. They may come in any order.
+    /// Records a request. Requests may be recorded in any order.
     pub fn note(&mut self, acted: Acted) {
         let first = self.first.entry(acted.version).or_insert(acted);
         if acted.at < first.at {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Versions that were acted on.
+    /// Versions under which at least one request was sent, in ascending order.
     pub fn versions(&self) -> impl Iterator<Item = u64> {
         self.first.keys().copied()
     }
@@ -90,7 +91,7 @@
     }
 
     #[test]
-    fn versions_that_do_not_contradict_may_overlap_and_others_in_turn_do_not() {
+    fn compatible_versions_may_overlap_and_successive_versions_do_not_overlap() {
         let mut all = Agreement::default();
         all.note(acted(1, 0, 10));
         all.note(acted(1, 0, 100));
--- a/crates/sandgap-rules/src/latencies.rs
+++ b/crates/sandgap-rules/src/latencies.rs
@@ -1,15 +1,15 @@
-//! Times in bounded memory, whatever their number.
+//! A histogram of durations whose memory does not grow with their number.
 
 use hdrhistogram::Histogram;
 
 use crate::Micros;
 
-/// The longest time told apart, an hour; longer ones count as that.
-const MOST: Micros = 3_600_000_000;
-/// Digits that a quantile is exact to: 0.1%.
-const DIGITS: u8 = 3;
+/// The longest duration that is recorded exactly, one hour; longer ones count as one hour.
+const LONGEST: Micros = 3_600_000_000;
+/// Significant digits of a quantile: exact to 0.1%.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// How long answers took.
+/// Response times.
 #[derive(Clone, Debug)]
 pub struct Latencies {
     times: Histogram<u64>,
@@ -17,23 +17,24 @@
 
 impl Default for Latencies {
     fn default() -> Self {
-        let times = Histogram::new_with_bounds(1, MOST, DIGITS).expect("constant bounds that are in order");
+        let times = Histogram::new_with_bounds(1, LONGEST, SIGNIFICANT_DIGITS)
+            .expect("constant bounds that are in order");
         Latencies { times }
     }
 }
 
 impl Latencies {
-    /// Adds a time.
+    /// Adds a response time in microseconds.
     pub fn add(&mut self, time: Micros) {
         self.times.saturating_record(time);
     }
 
-    /// How many there are.
+    /// Number of recorded response times.
     pub fn count(&self) -> u64 {
         self.times.len()
     }
 
-    /// A quantile in milliseconds, from 0 to 1; `None` of none.
+    /// The quantile `q`, from 0 to 1, in milliseconds; `None` if nothing was recorded.
     pub fn quantile_ms(&self, q: f64) -> Option<f64> {
         (self.count() > 0).then(|| self.times.value_at_quantile(q) as f64 / 1000.0)
     }
@@ -44,7 +45,7 @@
     use super::*;
 
     #[test]
-    fn quantiles_are_exact_to_a_thousandth_and_none_has_none() {
+    fn quantiles_are_exact_to_a_thousandth_and_an_empty_histogram_has_none() {
         let mut l = Latencies::default();
         assert_eq!(l.quantile_ms(0.5), None);
         (1..=100_000).for_each(|us| l.add(us));
@@ -52,7 +53,7 @@
             let (seen, want) = (l.quantile_ms(q).expect("some"), q * 100.0);
             assert!((seen / want - 1.0).abs() < 0.002, "{q}: {seen} for {want}");
         }
-        l.add(u64::MAX); // past the bound it counts as the bound
+        l.add(u64::MAX); // counts as the longest duration
         assert_eq!(l.count(), 100_001);
     }
 }
--- a/crates/sandgap-rules/src/lib.rs
+++ b/crates/sandgap-rules/src/lib.rs
@@ -1,13 +1,13 @@
-//! The four rules of sandgap, as a checker of what clients asked and got, what backends were sent and ran, and
-//! what proxies were told. The rig feeds it from sockets, the laboratory from virtual time; neither decides on
-//! its own what a broken rule is.
+//! The four rules of sandgap, as a checker of what clients requested and received, what backends received and
+//! executed, and what discovery told the proxies. The rig feeds it with observations from sockets, the simulator with events in
+//! virtual time; the definition of a broken rule is here alone.
 //!
-//! [`judge`] holds the rules, one request's history at a time. [`ledger`] keeps every line of a run until its end
-//! and proves that none was lost; [`stream`] judges a request soon after its end and forgets it, so that a run
-//! may be as long as one likes. No I/O and no clock: the same lines give the same verdict.
+//! [`checker`] implements the rules for the history of one request at a time. [`ledger`] keeps every record of a run until its
+//! end and proves that none was lost; [`stream`] checks a request soon after its end and then drops it, so that the length of a
+//! run is not bounded. No I/O and no clock: the same records give the same verdict.
 
 pub mod agreement;
-pub mod judge;
+pub mod checker;
 pub mod latencies;
 pub mod ledger;
 pub mod limits;
@@ -16,7 +16,7 @@
 pub mod stream;
 
 pub use agreement::{Acted, Agreement, Overlap};
-pub use judge::{Asking, History, Judge, Sent, Terms};
+pub use checker::{Checker, History, Sent, Submission, Terms};
 pub use latencies::Latencies;
 pub use ledger::Ledger;
 pub use outs::{OutBreach, Outs};
--- a/crates/sandgap-rules/src/outs.rs
+++ b/crates/sandgap-rules/src/outs.rs
@@ -1,64 +1,65 @@
-//! Whether outs were kept: how many backends were their holders' at once, what came to one after it had been told empty,
-//! and what went out after a halt. Fed by what backends saw and holders were told; it knows no permit's inside.
+//! Checks maintenance permits, called outs: how many backends were out of service at once, whether a request arrived at one
+//! after its holder had been told that it is empty, and whether an out was granted after a halt. The input is what backends
+//! received and holders were told; the contents of permits are not looked at.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 
-/// Something that was wrong.
+/// A breach of the rules for outs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutBreach {
-    /// More were told empty at once than the bound allows.
+    /// More backends were out at once than the bound allows.
     TooMany {
-        /// When.
+        /// When the last of them was reported empty.
         at: Micros,
-        /// Which.
+        /// The backends that were out.
         out: Vec<usize>,
     },
-    /// A request came to a backend that its holder had been told to be empty.
+    /// A request arrived at a backend after its holder had been told that it is empty.
     Sent {
-        /// Which backend.
+        /// The backend.
         backend: usize,
-        /// When it was told empty.
+        /// When the holder was told that it is empty.
         empty: Micros,
-        /// When the request came.
+        /// When the request arrived.
         at: Micros,
-        /// Which one, as its sender named it.
+        /// The request's id, as its sender gave it.
         id: String,
     },
-    /// Asked for after a halt was acknowledged, and told empty before anybody let grants go on.
+    /// The out was requested after a halt had been acknowledged, and the backend was reported empty before grants resumed.
     AfterHalt {
-        /// Which backend.
+        /// The backend.
         backend: usize,
         /// When the halt was acknowledged.
         halted: Micros,
-        /// When it was told empty.
+        /// When the holder was told that the backend is empty.
         at: Micros,
     },
 }
 
-/// Follows outs through a run.
+/// Checks the outs of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outs {
     bound: usize,
-    /// Backends that are their holders', since when.
+    /// Backends that are out, and since when.
     empty: BTreeMap<usize, Micros>,
-    /// Since when a halt stands, as far as is surely known.
+    /// When the current halt was acknowledged, if there is one.
     halted: Option<Micros>,
     breaches: Vec<OutBreach>,
-    /// Times that a backend was told empty.
+    /// How often a holder was told that its backend is empty.
     pub outs: u64,
-    /// The most at once.
+    /// The largest number of backends that were out at once.
     pub most: usize,
 }
 
 impl Outs {
-    /// At most so many may be out at once.
+    /// A checker that allows at most `bound` backends to be out at once.
     pub fn new(bound: usize) -> Self {
         Outs { bound, ..Outs::default() }
     }
 
-    /// A holder that asked at `asked` was told now that its backend is empty.
+    /// A holder that requested its out at `asked` was told at `at` that its backend is empty.
     pub fn empty(&mut self, backend: usize, asked: Micros, at: Micros) {
         self.outs += 1;
         self.empty.insert(backend, at);
@@ -71,12 +72,12 @@
         }
     }
 
-    /// A holder is about to say that it is done.
+    /// The holder of a backend is about to report that it is done with it.
     pub fn back(&mut self, backend: usize) {
         self.empty.remove(&backend);
     }
 
-    /// A request's first byte came to a backend.
+    /// The first byte of a request arrived at a backend.
     pub fn request(&mut self, backend: usize, at: Micros, id: &str) {
         if let Some(empty) = self.empty.get(&backend).copied().filter(|empty| at > *empty) {
             self.breaches.push(OutBreach::Sent { backend, empty, at, id: id.to_owned() });
@@ -88,12 +89,12 @@
         self.halted = self.halted.or(Some(at));
     }
 
-    /// Somebody is about to let grants go on.
+    /// Grants are about to resume.
     pub fn resumes(&mut self) {
         self.halted = None;
     }
 
-    /// What was wrong.
+    /// The breaches found so far.
     pub fn breaches(&self) -> &[OutBreach] {
         &self.breaches
     }
@@ -123,7 +124,7 @@
     }
 
     #[test]
-    fn what_was_asked_before_a_halt_may_still_end_well_and_what_is_asked_after_it_may_not() {
+    fn an_out_requested_before_a_halt_may_complete_and_one_requested_after_it_may_not() {
         let mut outs = Outs::new(9);
         outs.halted(100);
         outs.empty(0, 99, 120);
--- a/crates/sandgap-rules/src/record.rs
+++ b/crates/sandgap-rules/src/record.rs
@@ -1,4 +1,4 @@
-//! What is written down of a run, and what is said of it in the end.
+//! The records of a run and its verdict.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,135 +6,135 @@
 use serde::Serialize;
 
 use crate::Micros;
-use crate::limits::SPELLED;
+use crate::limits::MAX_DETAILS;
 
-/// Whether a class may run again.
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// As often as one likes.
+    /// Any number of times.
     Safe,
-    /// Within one cell, for this span from the first attempt's send.
+    /// Within one cell, for this span after the first attempt was sent.
     Keyed(Micros),
-    /// Never.
+    /// At most once.
     Unsafe,
 }
 
 /// How a client's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// 200, and the attempt that its body names, if it names one.
+    /// Status 200, and the attempt that the body names, if it names one.
     Served(Option<u32>),
-    /// 429 or 503.
+    /// Status 429 or 503.
     Refused,
-    /// Any other whole answer.
+    /// A complete response with any other status.
     Failed,
-    /// The connection ended with no answer or a part of one.
+    /// The connection ended without a response or within one.
     Broken,
-    /// Nothing had come when the client gave up waiting, well past its deadline.
+    /// No response had arrived when the client stopped waiting, well past its deadline.
     Silent,
-    /// The client left before its answer.
+    /// The client left before the response.
     Left,
-    /// The connection, used before, ended without a byte: the client may send once more.
+    /// A reused connection was closed before a byte of the response arrived: the client may send the request again.
     Crossed,
 }
 
 /// How an attempt ended at its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// The whole answer was written.
+    /// The whole response was written.
     Answered,
-    /// It ran, or is held to have run: failed, cut, reset, hung.
+    /// It ran, or has to be assumed to have run: failed, cut off, reset or hung.
     Perhaps,
-    /// Turned away unseen, and said so.
+    /// Rejected without processing, with a response that says so.
     Never,
 }
 
-/// One line.
+/// An observation.
 #[derive(Clone, Copy, Debug)]
 pub enum Record {
-    /// A client has written a request's last byte.
-    Asked {
+    /// A client has written the last byte of a request.
+    Submitted {
         /// The request.
         request: u32,
-        /// Which proxy and which process of it.
+        /// Which proxy, and which process of it.
         proxy: u16,
-        /// When.
+        /// When the last byte was written.
         at: Micros,
         /// When the client gives up.
         deadline: Micros,
     },
-    /// A client has an end to what it asked last.
-    Got {
+    /// The client's last submission of a request has ended.
+    Finished {
         /// The request.
         request: u32,
-        /// When.
+        /// When it happened.
         at: Micros,
-        /// Which.
+        /// How it ended.
         end: End,
     },
-    /// A backend has read a request's last byte.
-    Came {
-        /// Numbered over all backends.
+    /// A backend has read the last byte of a request.
+    AttemptReceived {
+        /// The attempt's number, unique over all backends.
         attempt: u32,
-        /// The request, if a client sent it.
+        /// The request; `None` if no client sent it.
         request: Option<u32>,
         /// The backend.
         backend: u16,
-        /// Its cell.
+        /// The backend's cell.
         cell: u16,
-        /// From which proxy.
+        /// The proxy that sent it.
         proxy: u16,
-        /// When its first byte came; what lay unread in a black hole counts from the hole's start.
+        /// When its first byte arrived; data that a black hole left unread counts from the start of that fault.
         first: Micros,
-        /// When its last byte came.
+        /// When its last byte was read.
         last: Micros,
-        /// How long it was told that the client waits, if it was.
+        /// The remaining time that the proxy passed on to the backend, if it did.
         told: Option<Micros>,
     },
     /// An attempt has ended at its backend.
-    Over {
+    AttemptEnded {
         /// The attempt.
         attempt: u32,
-        /// How.
+        /// Whether it ran.
         ran: Ran,
     },
-    /// Discovery has written news of a backend to a proxy.
-    Told {
+    /// Discovery has told a proxy the health of a backend.
+    HealthTold {
         /// The proxy.
         proxy: u16,
         /// The backend.
         backend: u16,
-        /// Whether it may get something new.
+        /// Whether the backend may receive new requests.
         up: bool,
-        /// When.
+        /// When it happened.
         at: Micros,
     },
-    /// A proxy's process has been killed; what it held is its clients' to ask again.
-    Killed {
+    /// A proxy's process was killed; the clients have to repeat the requests that it held.
+    ProxyKilled {
         /// The proxy.
         proxy: u16,
-        /// When the signal went out.
+        /// When the signal was sent.
         at: Micros,
     },
-    /// A proxy's process stood still for a while.
-    Paused {
+    /// A proxy's process was suspended for a while.
+    ProxyPaused {
         /// The proxy.
         proxy: u16,
-        /// From.
+        /// When the pause began.
         from: Micros,
-        /// Until.
+        /// When it ended.
         to: Micros,
     },
-    /// A cold backend was pushed over.
-    Fell {
+    /// A cold backend failed from overload.
+    BackendOverloaded {
         /// The backend.
         backend: u16,
-        /// When.
+        /// When it happened.
         at: Micros,
     },
 }
 
-/// Who writes; each counts its own lines.
+/// A source of records; each counts the records that it writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Writer {
     /// The clients.
@@ -143,90 +143,90 @@
     Backends,
     /// Discovery.
     Discovery,
-    /// Whoever runs the scenario.
+    /// The scenario's runner.
     Runner,
 }
 
-/// The four rules, and what goes with the first of them.
+/// The four rules, and the deadlines passed on to backends, which belong to the first rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// One final answer, in time, and nothing goes out afterwards.
+    /// Each request gets one final response in time, and no attempt starts after it.
     NoRequestLost,
-    /// Nothing runs again, or is refused, against its class.
+    /// No request is executed again, or refused after it may have run, against its class.
     NothingTwice,
-    /// Nothing new later than the grace after a drain was told.
+    /// No new attempt goes to a backend later than the grace after the proxy was told of its drain.
     DrainsKept,
-    /// No cold backend is pushed over.
+    /// No cold backend is overloaded.
     NoColdPushedOver,
-    /// A backend is told no more time than the client has left.
+    /// A proxy passes on no more time to a backend than the client has left.
     DeadlinesPassedOn,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// Whose, where it is one request's.
+    /// The request, if the breach concerns a single one.
     pub request: Option<u32>,
-    /// What was seen.
+    /// Description of the breach.
     pub what: String,
 }
 
-/// What became of the requests.
+/// Counts of the requests' outcomes, and response times.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Requests that a proxy took.
+    /// Requests that clients sent to a proxy.
     pub asked: u32,
-    /// Served.
+    /// Submissions that were served.
     pub served: u32,
-    /// Refused.
+    /// Submissions that were refused.
     pub refused: u32,
-    /// Failed.
+    /// Submissions that failed.
     pub failed: u32,
-    /// The client left first.
+    /// Submissions whose client left before the response.
     pub left: u32,
-    /// Held by a proxy when it was killed or stood still.
+    /// Submissions without a response because the proxy was killed or suspended, or the machine stalled.
     pub excused: u32,
-    /// Attempts that backends got.
+    /// Attempts that backends received.
     pub attempts: u32,
-    /// Median time of a served answer, ms, to three digits.
+    /// Median response time of served requests, ms, to three digits.
     pub p50_ms: f64,
-    /// 99th percentile of it, ms, to three digits.
+    /// 99th percentile of the response time of served requests, ms, to three digits.
     pub p99_ms: f64,
 }
 
-/// The end of a run.
+/// The result of checking a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// Figures.
+    /// Counts and response times.
     pub figures: Figures,
-    /// Broken rules, the first of them spelled out.
+    /// Descriptions of the first breaches, up to a limit.
     pub breaches: Vec<Breach>,
-    /// How often each rule was broken.
+    /// Number of breaches of each rule.
     pub counts: BTreeMap<Rule, usize>,
-    /// Why the ledger can't tell; empty where it can.
+    /// Why the records are not sufficient for a verdict; empty if they are.
     pub incomplete: Vec<String>,
 }
 
 impl Verdict {
-    /// Notes a broken rule; the first ones are spelled out, all are counted.
+    /// Adds a breach; only the first ones keep their description, all are counted.
     pub(crate) fn broken(&mut self, rule: Rule, request: Option<u32>, what: String) {
         *self.counts.entry(rule).or_default() += 1;
-        if self.breaches.len() < SPELLED {
+        if self.breaches.len() < MAX_DETAILS {
             self.breaches.push(Breach { rule, request, what });
         }
     }
 
-    /// Notes why the records are not enough for a verdict.
+    /// Adds a reason why the records are not sufficient for a verdict.
     pub(crate) fn incomplete(&mut self, why: String) {
-        if self.incomplete.len() < SPELLED {
+        if self.incomplete.len() < MAX_DETAILS {
             self.incomplete.push(why);
         }
     }
 
-    /// Whether all four rules were seen to hold.
+    /// Whether the records are sufficient and no rule was broken.
     pub fn passes(&self) -> bool {
         self.counts.is_empty() && self.incomplete.is_empty()
     }
--- a/crates/sandgap-rules/src/stream.rs
+++ b/crates/sandgap-rules/src/stream.rs
@@ -1,147 +1,150 @@
-//! The rules over a run of any length: a request is judged soon after its last line and then forgotten. What is
-//! kept is bounded by the requests in flight and by how many backends and proxies there are.
+//! Checks the rules over a run of any length: a request is checked soon after its last record and then dropped. Memory is
+//! bounded by the requests in flight and the number of backends and proxies.
 
 use std::collections::VecDeque;
 
 use rustc_hash::FxHashMap;
 
 use crate::Micros;
-use crate::judge::{Asking, History, Judge, Sent, Terms};
-use crate::limits::{LINGER, LINGER_UNANSWERED, MEMORY, OPEN};
+use crate::checker::{Checker, History, Sent, Submission, Terms};
+use crate::limits::{CHECK_DELAY, CHECK_DELAY_UNANSWERED, EVENT_RETENTION, MAX_OPEN_REQUESTS};
 use crate::record::{Effect, End, Ran, Rule, Verdict};
 
-/// Looks at what may be forgotten are this far apart.
-const SWEEP: Micros = MEMORY / 4;
+/// Interval between removals of superseded events.
+const CLEANUP_INTERVAL: Micros = EVENT_RETENTION / 4;
 
-/// A judge of a run that goes on.
+/// Checks a run while it is in progress.
 #[derive(Clone, Debug)]
 pub struct Stream {
-    judge: Judge,
+    checker: Checker,
     open: FxHashMap<u32, History>,
-    /// Requests whose lines looked complete, by when they are to be judged: those that got an answer, and the rest.
+    /// Requests whose history was complete, with the time of their check: those with a response, and the others.
     ended: [VecDeque<(Micros, u32)>; 2],
-    swept: Micros,
+    cleaned: Micros,
     now: Micros,
 }
 
 impl Stream {
-    /// A stream that has seen nothing.
+    /// A stream without records.
     pub fn new(terms: Terms) -> Self {
         let (open, ended) = (FxHashMap::default(), Default::default());
-        Stream { judge: Judge::new(terms), open, ended, swept: 0, now: 0 }
+        Stream { checker: Checker::new(terms), open, ended, cleaned: 0, now: 0 }
     }
 
-    /// A client has asked. A number is never used for two requests.
+    /// A client has sent a request to a proxy. Request numbers are never reused.
     pub fn asked(&mut self, request: u32, effect: Effect, proxy: u16, at: Micros, deadline: Micros) {
-        self.move_to(at);
-        if self.open.len() >= OPEN {
-            return self.judge.verdict.incomplete(format!("more than {OPEN} requests open at once"));
+        self.advance_to(at);
+        if self.open.len() >= MAX_OPEN_REQUESTS {
+            return self
+                .checker
+                .verdict
+                .incomplete(format!("more than {MAX_OPEN_REQUESTS} requests open at once"));
         }
         let history = self.open.entry(request).or_insert_with(|| History::new(effect));
-        history.askings.push(Asking { proxy, at, deadline, end: None });
+        history.submissions.push(Submission { proxy, at, deadline, end: None });
     }
 
-    /// A client has an end to what it asked last.
+    /// The client's last submission of a request has ended.
     pub fn got(&mut self, request: u32, at: Micros, end: End) {
-        self.move_to(at);
-        match self.open.get_mut(&request).and_then(|h| h.askings.last_mut()) {
+        self.advance_to(at);
+        match self.open.get_mut(&request).and_then(|h| h.submissions.last_mut()) {
             Some(last) if last.end.is_none() => last.end = Some((at, end)),
             _ => {
                 let what = format!("request {request} ended twice");
-                return self.judge.verdict.broken(Rule::NoRequestLost, Some(request), what);
+                return self.checker.verdict.broken(Rule::NoRequestLost, Some(request), what);
             }
         }
-        self.look(request);
+        self.schedule_check(request);
     }
 
-    /// An attempt has gone to a backend.
+    /// An attempt has arrived at a backend.
     pub fn came(&mut self, request: u32, sent: Sent) {
-        self.move_to(sent.first);
+        self.advance_to(sent.first);
         match self.open.get_mut(&request) {
             Some(h) => h.sent.push(sent),
             None => {
                 let what = format!("request {request} went to backend {} long after its end", sent.backend);
-                self.judge.verdict.broken(Rule::NoRequestLost, Some(request), what);
+                self.checker.verdict.broken(Rule::NoRequestLost, Some(request), what);
             }
         }
     }
 
     /// An attempt has ended at its backend.
     pub fn over(&mut self, request: u32, number: u32, at: Micros, ran: Ran) {
-        self.move_to(at);
+        self.advance_to(at);
         let Some(h) = self.open.get_mut(&request) else { return };
         if let Some(s) = h.sent.iter_mut().find(|s| s.number == number) {
             s.ran = Some(ran);
         }
-        self.look(request);
+        self.schedule_check(request);
     }
 
-    /// A proxy was told whether a backend may get something new.
+    /// A proxy was told whether a backend may receive new requests.
     pub fn told(&mut self, proxy: u16, backend: u16, up: bool, at: Micros) {
-        self.move_to(at);
-        self.judge.news.told(proxy, backend, up, at);
+        self.advance_to(at);
+        self.checker.proxies.told(proxy, backend, up, at);
     }
 
     /// A proxy's process was killed.
     pub fn killed(&mut self, proxy: u16, at: Micros) {
-        self.judge.news.killed(proxy, at);
+        self.checker.proxies.killed(proxy, at);
     }
 
-    /// A proxy's process stood still until now.
+    /// A proxy's process was paused; the pause has ended.
     pub fn paused(&mut self, proxy: u16, from: Micros, to: Micros) {
-        self.judge.news.paused(proxy, from, to);
+        self.checker.proxies.paused(proxy, from, to);
     }
 
-    /// A cold backend was pushed over.
+    /// A cold backend failed from overload.
     pub fn fell(&mut self, backend: u16, at: Micros) {
-        self.judge.fell(backend, at);
+        self.checker.fell(backend, at);
     }
 
-    /// Requests that are not judged yet.
+    /// Number of requests that are not checked yet.
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// Judges what is still open, in the order of the requests' numbers.
+    /// Checks the remaining requests, in the order of their numbers, and returns the verdict.
     pub fn verdict(mut self) -> Verdict {
-        let mut left: Vec<(u32, History)> = self.open.drain().collect();
-        left.sort_unstable_by_key(|(r, _)| *r);
-        left.iter().for_each(|(r, h)| self.judge.request(*r, h));
-        self.judge.verdict()
+        let mut remaining: Vec<(u32, History)> = self.open.drain().collect();
+        remaining.sort_unstable_by_key(|(r, _)| *r);
+        remaining.iter().for_each(|(r, h)| self.checker.request(*r, h));
+        self.checker.verdict()
     }
 
-    fn look(&mut self, request: u32) {
-        let Some(h) = self.open.get(&request).filter(|h| complete(h)) else { return };
-        let end = h.askings.last().and_then(|a| a.end);
+    fn schedule_check(&mut self, request: u32) {
+        let Some(h) = self.open.get(&request).filter(|h| is_complete(h)) else { return };
+        let end = h.submissions.last().and_then(|a| a.end);
         if matches!(end, Some((_, End::Served(_) | End::Refused | End::Failed))) {
-            self.ended[0].push_back((self.now + LINGER, request));
+            self.ended[0].push_back((self.now + CHECK_DELAY, request));
         } else {
-            self.ended[1].push_back((self.now + LINGER_UNANSWERED, request));
+            self.ended[1].push_back((self.now + CHECK_DELAY_UNANSWERED, request));
         }
     }
 
-    fn move_to(&mut self, now: Micros) {
+    fn advance_to(&mut self, now: Micros) {
         self.now = self.now.max(now);
         for ended in &mut self.ended {
             while let Some(&(_, r)) = ended.front().filter(|(at, _)| *at <= self.now) {
                 ended.pop_front();
-                // One that has got a further line since comes up again at that line's end.
-                if self.open.get(&r).is_some_and(complete)
+                // A request that has become incomplete again by a further record is queued again when it is complete.
+                if self.open.get(&r).is_some_and(is_complete)
                     && let Some(h) = self.open.remove(&r)
                 {
-                    self.judge.request(r, &h);
+                    self.checker.request(r, &h);
                 }
             }
         }
-        if self.now > self.swept + SWEEP {
-            self.swept = self.now;
-            self.judge.news.forget(self.now.saturating_sub(MEMORY));
+        if self.now > self.cleaned + CLEANUP_INTERVAL {
+            self.cleaned = self.now;
+            self.checker.proxies.forget(self.now.saturating_sub(EVENT_RETENTION));
         }
     }
 }
 
-fn complete(h: &History) -> bool {
-    h.askings.last().is_some_and(|a| a.end.is_some()) && h.sent.iter().all(|s| s.ran.is_some())
+fn is_complete(h: &History) -> bool {
+    h.submissions.last().is_some_and(|a| a.end.is_some()) && h.sent.iter().all(|s| s.ran.is_some())
 }
 
 #[cfg(test)]
@@ -167,7 +170,7 @@
     }
 
     #[test]
-    fn a_long_run_keeps_only_what_is_in_flight() {
+    fn a_long_run_keeps_only_requests_in_flight() {
         let mut s = stream();
         for r in 0..100_000u32 {
             let at = Micros::from(r) * MS;
@@ -182,7 +185,7 @@
     }
 
     #[test]
-    fn what_is_sent_after_the_answer_is_seen_soon_and_late() {
+    fn an_attempt_after_the_answer_is_found_shortly_and_long_after_it() {
         for after in [200 * MS, 5000 * MS] {
             let mut s = stream();
             s.asked(0, Effect::Safe, 0, 0, 100 * MS);
@@ -197,8 +200,8 @@
     }
 
     #[test]
-    fn a_client_that_left_binds_a_model_that_cannot_always_hear_of_it_to_nothing() {
-        // On sockets it does, see the ledger's tests.
+    fn attempts_after_the_client_left_are_allowed_where_proxies_cannot_always_learn_of_it() {
+        // For sockets the limit applies, see the tests of the ledger.
         let mut s = stream();
         s.asked(0, Effect::Safe, 0, 0, 100 * MS);
         s.got(0, 5 * MS, End::Left);
@@ -209,10 +212,10 @@
     }
 
     #[test]
-    fn an_old_drain_still_binds_when_older_news_is_forgotten() {
+    fn an_old_drain_still_applies_after_older_events_are_dropped() {
         let mut s = stream();
         s.told(0, 1, false, 10 * MS);
-        let late = 10 * MEMORY;
+        let late = 10 * EVENT_RETENTION;
         s.asked(0, Effect::Safe, 0, late, late + 100 * MS);
         s.came(0, sent(0, 1, late));
         s.over(0, 0, late, Ran::Answered);
