--- a/crates/sandgap-rig/shim/system_faults.c
+++ b/crates/sandgap-rig/shim/system_faults.c
@@ -1,9 +1,10 @@
-/* System calls that fail or fall short now and then, in all the ways that Linux documents. Loaded with LD_PRELOAD into
- * one process. SANDGAP_FAULTS names the faults: "seed=7,short_read=20,short_write=20,eintr=20,socket=300,connect=100,
- * accept=100,held_up=2,step_ms=3600000,ahead_ms=3600000". The figures are parts of a thousand of the calls; step_ms is the largest
- * step of the wall clock, which is set anew every two seconds, and ahead_ms what it is ahead by (behind, if negative) for
- * good. SANDGAP_FAILING_FOLDER names a folder and SANDGAP_FAILING_WHILE a file: for as long as that file is there, nothing can
- * be written, synced or made under the folder (ENOSPC, EIO). Nothing else is touched. */
+/* Makes system calls fail or fall short at random, in the ways that Linux documents. Loaded with LD_PRELOAD into
+ * one process. SANDGAP_FAULTS sets the faults: "seed=7,short_read=20,short_write=20,eintr=20,socket=300,connect=100,
+ * accept=100,held_up=2,step_ms=3600000,ahead_ms=3600000". The values are parts of a thousand of the calls, apart from
+ * seed, step_ms and ahead_ms: step_ms is the largest step of the wall clock in ms, drawn again every two seconds, and ahead_ms its
+ * constant offset in ms (negative if it is behind). SANDGAP_FAILING_FOLDER names a folder and SANDGAP_FAILING_WHILE a file: for
+ * as long as that file exists, nothing can be written, synced or resized under the folder (ENOSPC, EIO). No other call is
+ * affected. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -20,16 +21,16 @@
 #include <time.h>
 #include <unistd.h>
 
-/* A call that is cut short moves one to this many bytes. */
-#define LONGEST_CUT 8
+/* A short read or write transfers at most one to this many bytes. */
+#define LONGEST_SHORT_CALL 8
 #define CLOCK_STEP_SECONDS 2
-#define LONGEST_HOLD_UP_NS 150000000
+#define MAX_DELAY_NS 150000000
 
 static pthread_once_t once = PTHREAD_ONCE_INIT;
 static uint64_t state = 1;
 static long short_read, short_write, eintr, fail_socket, fail_connect, fail_accept, held_up, step_ms, ahead_ms;
 
-static long figure(const char *text, const char *name) {
+static long setting(const char *text, const char *name) {
     size_t length = strlen(name);
     for (const char *at = strstr(text, name); at != NULL; at = strstr(at + 1, name))
         if ((at == text || at[-1] == ',') && at[length] == '=')
@@ -41,16 +42,16 @@
     const char *text = getenv("SANDGAP_FAULTS");
     if (text == NULL)
         return;
-    state = 0x9E3779B97F4A7C15ull ^ (uint64_t)figure(text, "seed") * 0xBF58476D1CE4E5B9ull;
-    short_read = figure(text, "short_read");
-    short_write = figure(text, "short_write");
-    eintr = figure(text, "eintr");
-    fail_socket = figure(text, "socket");
-    fail_connect = figure(text, "connect");
-    fail_accept = figure(text, "accept");
-    held_up = figure(text, "held_up");
-    step_ms = figure(text, "step_ms");
-    ahead_ms = figure(text, "ahead_ms");
+    state = 0x9E3779B97F4A7C15ull ^ (uint64_t)setting(text, "seed") * 0xBF58476D1CE4E5B9ull;
+    short_read = setting(text, "short_read");
+    short_write = setting(text, "short_write");
+    eintr = setting(text, "eintr");
+    fail_socket = setting(text, "socket");
+    fail_connect = setting(text, "connect");
+    fail_accept = setting(text, "accept");
+    held_up = setting(text, "held_up");
+    step_ms = setting(text, "step_ms");
+    ahead_ms = setting(text, "ahead_ms");
 }
 
 static uint64_t draw(void) {
@@ -62,7 +63,7 @@
 }
 
 static int happens(long *per_mille) {
-    uint64_t drawn = draw(); /* reads the settings first */
+    uint64_t drawn = draw(); /* this call reads the settings, so it comes before the comparison */
     return *per_mille > 0 && (long)(drawn % 1000) < *per_mille;
 }
 
@@ -77,16 +78,17 @@
 #define FAILS(per_mille, ...) \
     fails(per_mille, (const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int))
 
-/* Of the sockets only TCP's are hit. A call that does not block is never interrupted (signal(7)), and in the pipe by which
- * a runtime hears of signals an interrupted write would lose the signal: a fault that Linux does not have. */
-static int is_tcp(int fd) {
+/* Of the file descriptors only sockets outside of AF_UNIX are affected: TCP's. A call that does not block is never interrupted
+ * (signal(7)), and an interrupted write to the pipe by which a runtime learns of signals would lose the signal, a fault that
+ * does not occur on Linux. */
+static int is_network_socket(int fd) {
     int domain = 0;
     socklen_t size = sizeof domain;
     return getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &domain, &size) == 0 && domain != AF_UNIX;
 }
 
-static size_t cut(size_t length) {
-    size_t most = 1 + draw() % LONGEST_CUT;
+static size_t shorten(size_t length) {
+    size_t most = 1 + draw() % LONGEST_SHORT_CALL;
     return length < most ? length : most;
 }
 
@@ -94,11 +96,11 @@
     static __typeof__(&recv) real;
     if (real == NULL)
         real = REAL(recv);
-    if (!(flags & MSG_PEEK) && is_tcp(fd)) {
+    if (!(flags & MSG_PEEK) && is_network_socket(fd)) {
         if (FAILS(&eintr, EINTR))
             return -1;
         if (happens(&short_read))
-            length = cut(length);
+            length = shorten(length);
     }
     return real(fd, buffer, length, flags);
 }
@@ -107,11 +109,11 @@
     static __typeof__(&send) real;
     if (real == NULL)
         real = REAL(send);
-    if (is_tcp(fd)) {
+    if (is_network_socket(fd)) {
         if (FAILS(&eintr, EINTR))
             return -1;
         if (happens(&short_write))
-            length = cut(length);
+            length = shorten(length);
     }
     return real(fd, buffer, length, flags);
 }
@@ -120,11 +122,11 @@
     static __typeof__(&writev) real;
     if (real == NULL)
         real = REAL(writev);
-    if (count > 0 && is_tcp(fd)) {
+    if (count > 0 && is_network_socket(fd)) {
         if (FAILS(&eintr, EINTR))
             return -1;
         if (happens(&short_write) && parts[0].iov_len > 0) {
-            struct iovec first = {parts[0].iov_base, cut(parts[0].iov_len)};
+            struct iovec first = {parts[0].iov_base, shorten(parts[0].iov_len)};
             return real(fd, &first, 1);
         }
     }
@@ -166,7 +168,7 @@
         return -1;
     int outcome = real(fd, events, most, timeout);
     if (happens(&held_up)) {
-        struct timespec span = {0, (long)(draw() % LONGEST_HOLD_UP_NS)};
+        struct timespec span = {0, (long)(draw() % MAX_DELAY_NS)};
         nanosleep(&span, NULL);
     }
     return outcome;
@@ -188,7 +190,7 @@
     return outcome;
 }
 
-/* Whether a path lies in the folder that fails at present. */
+/* Whether a path lies in the failing folder while it fails. */
 static int is_in_failing_folder(const char *path) {
     const char *folder = getenv("SANDGAP_FAILING_FOLDER"), *while_there = getenv("SANDGAP_FAILING_WHILE");
     return folder != NULL && while_there != NULL && strncmp(path, folder, strlen(folder)) == 0 &&
@@ -207,7 +209,7 @@
     return is_in_failing_folder(path);
 }
 
-/* Half of what is to be written is: a full disk takes what there is room for. */
+/* Half of the calls write the first half of the bytes, as a full disk writes what there is room for; the others fail. */
 ssize_t pwrite64(int fd, const void *buffer, size_t length, off64_t offset) {
     static __typeof__(&pwrite64) real;
     if (real == NULL)
--- a/crates/sandgap-rig/src/backend.rs
+++ b/crates/sandgap-rig/src/backend.rs
@@ -1,4 +1,4 @@
-//! Stand-in backends: a machine behind one listener for each proxy, so that it is known who sent what.
+//! Simulated backends: a machine behind one listener for each proxy, so that the sender of each request is known.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,48 +17,49 @@
 use crate::world::World;
 use sandgap_rules::{Ran, Record, Writer};
 
-/// Connections that fill the accept queue of a black hole.
-const FILL: usize = 4;
-/// One of them that is not up by then finds the queue full.
-const FULL: Duration = Duration::from_millis(30);
+/// Largest number of connections that fill the accept queue of a black hole.
+const MAX_FILLERS: usize = 4;
+/// If one of them is not established by then, the queue is full.
+const FULL_QUEUE_TIMEOUT: Duration = Duration::from_millis(30);
+/// Accept queue of a normal listener.
 const BACKLOG: u32 = 1024;
-/// Where idle connections are closed early, they are after this span.
+/// Idle time after which connections are closed in the mode that closes them early.
 const IDLE_CLOSE: Duration = Duration::from_millis(12);
 /// Longer than any run.
 const FOREVER: Duration = Duration::from_secs(86_400);
 
-/// What a backend is doing. It only ever ends once.
+/// Whether a backend runs. The end is final.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Life {
-    Runs(Mode),
-    Gone,
+enum State {
+    Running(Mode),
+    Ended,
 }
 
-/// A stand-in backend.
+/// A simulated backend.
 pub struct Backend {
     /// Its number in the plan.
     pub number: usize,
     /// One address for each proxy.
     pub addresses: Vec<SocketAddr>,
-    /// When it started; `None` for long ago.
-    pub born: Option<Micros>,
+    /// When it started; `None` if it was up and warm before the run.
+    pub started: Option<Micros>,
     machine: RefCell<Machine>,
-    life: watch::Sender<Life>,
+    state: watch::Sender<State>,
     handled: Cell<u32>,
 }
 
 impl Backend {
     /// Starts a backend that listens at `addresses`.
     pub fn start(world: &Rc<World>, number: usize, addresses: Vec<SocketAddr>, fresh: bool) -> Rc<Self> {
-        let born = fresh.then(|| world.now());
+        let started = fresh.then(|| world.now());
         let build = world.plan.machines[number].clone();
-        let machine = Machine::new(build, world.plan.cold, born.map(ms));
+        let machine = Machine::new(build, world.plan.cold, started.map(ms));
         let backend = Rc::new(Backend {
             number,
             addresses,
-            born,
+            started,
             machine: RefCell::new(machine),
-            life: watch::channel(Life::Runs(Mode::Normal)).0,
+            state: watch::channel(State::Running(Mode::Normal)).0,
             handled: Cell::new(0),
         });
         for proxy in 0..backend.addresses.len() {
@@ -77,50 +78,50 @@
         self.number / CELL
     }
 
-    /// Requests that it has read so far.
+    /// Requests that it has received so far.
     pub fn handled(&self) -> u32 {
         self.handled.get()
     }
 
-    /// Behaves so from now on, unless it has ended.
+    /// Sets its mode, unless it has ended.
     pub fn set(&self, mode: Mode) {
-        self.life.send_if_modified(|life| {
-            let new = Life::Runs(mode);
-            *life != Life::Gone && std::mem::replace(life, new) != new
+        self.state.send_if_modified(|state| {
+            let new = State::Running(mode);
+            *state != State::Ended && std::mem::replace(state, new) != new
         });
         self.machine.borrow_mut().slow = if let Mode::Slow(times) = mode { times } else { 1.0 };
     }
 
-    /// Ends its process: what is in work is finished, nothing new is taken.
+    /// Ends it: requests in progress are finished, no new ones are accepted.
     pub fn end(&self) {
-        self.life.send_replace(Life::Gone);
+        self.state.send_replace(State::Ended);
     }
 
-    /// Whether it has ended or fallen over.
-    pub fn is_gone(&self) -> bool {
-        *self.life.borrow() == Life::Gone
+    /// Whether it has ended or failed from overload.
+    pub fn has_ended(&self) -> bool {
+        *self.state.borrow() == State::Ended
     }
 
     async fn listen(self: Rc<Self>, world: Rc<World>, proxy: usize) {
-        let mut life = self.life.subscribe();
+        let mut state = self.state.subscribe();
         loop {
-            let now = *life.borrow_and_update();
+            let now = *state.borrow_and_update();
             match now {
-                Life::Gone => return,
-                Life::Runs(Mode::Refuse) => {
-                    let _ = life.changed().await;
+                State::Ended => return,
+                State::Running(Mode::Refuse) => {
+                    let _ = state.changed().await;
                 }
-                Life::Runs(Mode::BlackHole) => {
-                    let hole = self.hole(proxy).await;
-                    let _ = life.changed().await;
+                State::Running(Mode::BlackHole) => {
+                    let hole = self.black_hole(proxy).await;
+                    let _ = state.changed().await;
                     drop(hole);
                 }
-                Life::Runs(_) => {
+                State::Running(_) => {
                     let Ok(listener) = bind(self.addresses[proxy], BACKLOG) else {
-                        sleep(Duration::from_millis(5)).await; // the one before may still be closing
+                        sleep(Duration::from_millis(5)).await; // the previous listener may still be closing
                         continue;
                     };
-                    self.accept(&world, proxy, &listener, &mut life).await;
+                    self.accept(&world, proxy, &listener, &mut state).await;
                 }
             }
         }
@@ -128,15 +129,15 @@
 
     async fn accept(
         self: &Rc<Self>, world: &Rc<World>, proxy: usize, listener: &TcpListener,
-        life: &mut watch::Receiver<Life>,
+        state: &mut watch::Receiver<State>,
     ) {
         loop {
             tokio::select! {
                 biased;
-                _ = life.changed() => {
-                    let now = *life.borrow_and_update();
-                    if matches!(now, Life::Gone | Life::Runs(Mode::Refuse | Mode::BlackHole)) {
-                        life.mark_changed();
+                _ = state.changed() => {
+                    let now = *state.borrow_and_update();
+                    if matches!(now, State::Ended | State::Running(Mode::Refuse | Mode::BlackHole)) {
+                        state.mark_changed();
                         return;
                     }
                 }
@@ -151,44 +152,44 @@
         }
     }
 
-    /// A listener whose accept queue is full: connections to it don't come up.
-    async fn hole(&self, proxy: usize) -> (Option<TcpListener>, Vec<TcpStream>) {
+    /// A listener whose accept queue is full: connections to it are not established.
+    async fn black_hole(&self, proxy: usize) -> (Option<TcpListener>, Vec<TcpStream>) {
         let address = self.addresses[proxy];
         let Ok(listener) = bind(address, 0) else { return (None, Vec::new()) };
-        let mut fill = Vec::new();
-        while fill.len() < FILL {
-            match timeout(FULL, TcpStream::connect(address)).await {
-                Ok(Ok(stream)) => fill.push(stream),
+        let mut fillers = Vec::new();
+        while fillers.len() < MAX_FILLERS {
+            match timeout(FULL_QUEUE_TIMEOUT, TcpStream::connect(address)).await {
+                Ok(Ok(stream)) => fillers.push(stream),
                 _ => break,
             }
         }
-        (Some(listener), fill)
+        (Some(listener), fillers)
     }
 
     fn mode(&self) -> Mode {
-        match *self.life.borrow() {
-            Life::Runs(mode) => mode,
-            Life::Gone => Mode::Refuse,
+        match *self.state.borrow() {
+            State::Running(mode) => mode,
+            State::Ended => Mode::Refuse,
         }
     }
 
-    /// Waits until it behaves otherwise.
-    async fn other_than(&self, mode: Mode) {
-        let _ = self.life.subscribe().wait_for(|l| *l != Life::Runs(mode)).await;
+    /// Waits until it is no longer in a mode.
+    async fn wait_until_mode_ends(&self, mode: Mode) {
+        let _ = self.state.subscribe().wait_for(|l| *l != State::Running(mode)).await;
     }
 
     async fn serve(self: Rc<Self>, world: Rc<World>, proxy: usize, mut conn: Conn) {
-        let mut life = self.life.subscribe();
+        let mut state = self.state.subscribe();
         loop {
             let idle = sleep(if self.mode() == Mode::ClosesIdle { IDLE_CLOSE } else { FOREVER });
             tokio::select! {
                 begun = conn.begin() => if !begun { return },
-                _ = life.wait_for(|l| *l == Life::Gone) => return,
+                _ = state.wait_for(|l| *l == State::Ended) => return,
                 () = idle => return,
             }
             match self.mode() {
                 Mode::BlackHole => {
-                    self.other_than(Mode::BlackHole).await;
+                    self.wait_until_mode_ends(Mode::BlackHole).await;
                     return reset(&conn.stream);
                 }
                 Mode::ResetBefore | Mode::ResetDuring => return reset(&conn.stream),
@@ -205,12 +206,12 @@
         }
     }
 
-    /// Does what its mode says with a request; whether the connection goes on.
+    /// Handles a request by its mode; returns whether the connection continues.
     async fn handle(&self, world: &Rc<World>, proxy: usize, conn: &mut Conn, message: &Message) -> bool {
         self.handled.set(self.handled.get() + 1);
-        let request = message.header("x-request-id").and_then(|id| world.request(id));
-        let attempt = world.attempt();
-        let came = Record::AttemptReceived {
+        let request = message.header("x-request-id").and_then(|id| world.request_number(id));
+        let attempt = world.begin_attempt();
+        let received = Record::AttemptReceived {
             attempt,
             request,
             backend: self.number as u16,
@@ -218,18 +219,18 @@
             proxy: proxy as u16,
             first: message.first,
             last: message.last,
-            told: message.header("x-timeout").and_then(told),
+            told: message.header("x-timeout").and_then(parse_seconds),
         };
-        world.note(Writer::Backends, came);
-        let over = Over { world, attempt, ran: Cell::new(Ran::Perhaps) };
+        world.record(Writer::Backends, received);
+        let guard = AttemptGuard { world, attempt, ran: Cell::new(Ran::Perhaps) };
         let Some(request) = request else {
             return conn.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await.is_ok();
         };
         let mode = self.mode();
         match mode {
             Mode::Hang => {
-                drop(over); // it never ends by itself
-                self.other_than(Mode::Hang).await;
+                drop(guard); // recorded now, since it never ends by itself
+                self.wait_until_mode_ends(Mode::Hang).await;
                 reset(&conn.stream);
                 return false;
             }
@@ -244,20 +245,20 @@
         }
         let work = world.plan.requests[request as usize].work_ms;
         let now = ms(world.now());
-        let fallen = self.machine.borrow().has_fallen();
+        let had_fallen = self.machine.borrow().has_fallen();
         let taken = self.machine.borrow_mut().take(now, work);
         match taken {
             Taken::Falls => {
-                if !fallen {
+                if !had_fallen {
                     let (backend, at) = (self.number as u16, world.now());
-                    world.note(Writer::Backends, Record::BackendOverloaded { backend, at });
+                    world.record(Writer::Backends, Record::BackendOverloaded { backend, at });
                 }
                 self.end();
                 reset(&conn.stream);
                 return false;
             }
             Taken::Full => {
-                over.ran.set(Ran::Never);
+                guard.ran.set(Ran::Never);
                 let text = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
                 return conn.write(text).await.is_ok();
             }
@@ -269,56 +270,56 @@
                 false
             }
             Mode::CutAnswer => {
-                let text = answer(request, attempt);
+                let text = response(request, attempt);
                 let _ = conn.write(&text.as_bytes()[..text.len() - 8]).await;
                 false
             }
             _ => {
-                // Noted before the bytes go out, since the client may have them before this task runs again.
-                over.ran.set(Ran::Answered);
-                drop(over);
-                conn.write(answer(request, attempt).as_bytes()).await.is_ok()
+                // Recorded before the write, since the client may have the bytes before this task runs again.
+                guard.ran.set(Ran::Answered);
+                drop(guard);
+                conn.write(response(request, attempt).as_bytes()).await.is_ok()
             }
         }
     }
 }
 
-/// Notes the end of an attempt, whatever ends it.
-struct Over<'a> {
+/// Records the end of an attempt on drop, however it ends.
+struct AttemptGuard<'a> {
     world: &'a World,
     attempt: u32,
     ran: Cell<Ran>,
 }
 
-impl Drop for Over<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         self.world
-            .note(Writer::Backends, Record::AttemptEnded { attempt: self.attempt, ran: self.ran.get() });
-        self.world.over();
+            .record(Writer::Backends, Record::AttemptEnded { attempt: self.attempt, ran: self.ran.get() });
+        self.world.end_attempt();
     }
 }
 
-/// What a header tells in seconds.
-fn told(seconds: &str) -> Option<Micros> {
+/// Parses a number of seconds in a header.
+fn parse_seconds(seconds: &str) -> Option<Micros> {
     let seconds = seconds.parse::<f64>().ok().filter(|s| s.is_finite() && *s >= 0.0)?;
     Some((seconds * 1e6) as Micros)
 }
 
-/// The body names the request and the attempt that made it.
-fn answer(request: u32, attempt: u32) -> String {
+/// A response whose body names the request and the attempt that made it.
+fn response(request: u32, attempt: u32) -> String {
     let body = format!("request {request} attempt {attempt} {:=<200}", "");
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// What a body says: the request and the attempt that made it.
-pub fn stamp(body: &[u8]) -> Option<(u32, u32)> {
+/// Reads the request and the attempt that made it from the body of a response.
+pub fn parse_body(body: &[u8]) -> Option<(u32, u32)> {
     let text = std::str::from_utf8(body).ok()?;
     let mut words = text.split(' ');
     let mut next = |name: &str| (words.next() == Some(name)).then(|| words.next()?.parse().ok()).flatten();
     Some((next("request")?, next("attempt")?))
 }
 
-/// A number in [0, 1) that depends on both alone.
+/// A pseudo-random number in [0, 1) that depends on both arguments only.
 fn chance(a: u32, b: u32) -> f64 {
     fastrand::Rng::with_seed(u64::from(a) << 32 | u64::from(b)).f64()
 }
--- a/crates/sandgap-rig/src/client.rs
+++ b/crates/sandgap-rig/src/client.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients behind a plain front layer, which deals them out among the proxies it believes in.
+//! Simulated clients behind a plain front layer, which distributes them over the proxies that it considers in service.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -8,51 +8,51 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at};
 
-use crate::backend::stamp;
+use crate::backend::parse_body;
 use crate::clock::Micros;
 use crate::http::{Conn, ReadError};
-use crate::limits::{IDLE, TRIES};
+use crate::limits::{IDLE, MAX_TRIES};
 use crate::schedule::TENANTS;
 use crate::world::World;
 use sandgap_rules::{Effect, End, Latencies, Record, Writer};
 
-/// A connection that is not up by then counts as refused.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Who stops in the middle of a request is owed an end within 3 s, by the operators' terms, and what a process may be
-/// held up by.
-const END_OWED: Duration = Duration::from_millis(3400);
-/// A client whose bytes nobody takes for this long gives up.
-const STUCK: Duration = Duration::from_secs(5);
-/// An answer is waited for this much longer than the client's patience, to tell late from lost.
-const LATER: Micros = 1_000_000;
-
-/// The front: which proxies it deals connections to.
+/// A connection that is not established by then counts as refused.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a client that stops within a request waits for a response or close: 3 s by the operators' terms, plus the time that
+/// a process may be delayed by system faults.
+const HALF_REQUEST_TIMEOUT: Duration = Duration::from_millis(3400);
+/// A client whose bytes are not taken for this long gives up.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How much longer than its deadline a client waits for a response, to distinguish late from lost responses, µs.
+const LATE_RESPONSE_WAIT: Micros = 1_000_000;
+
+/// The front layer: assigns connections to the proxies in service.
 pub struct Front {
     addresses: Vec<SocketAddr>,
-    believed: RefCell<Vec<bool>>,
-    /// Idle connections by proxy.
+    in_service: RefCell<Vec<bool>>,
+    /// Idle connections, by proxy.
     idle: Vec<RefCell<Vec<Conn>>>,
-    /// Requests that no proxy took.
+    /// Requests that no proxy accepted.
     pub untaken: Cell<u32>,
-    /// Clients that stopped in the middle of a request and had no end in time: the request, its proxy, bytes sent.
+    /// Clients that stopped within a request and got no response or close in time: the request, its proxy, bytes sent.
     pub unended: RefCell<Vec<(usize, usize, usize)>>,
-    /// Requests that are under way.
+    /// Number of requests in progress.
     pub open: Cell<u32>,
-    /// Ends of requests: served, refused, failed.
+    /// Counts of requests by end: served, refused, and all others.
     pub ends: Cell<[u32; 3]>,
-    /// Times of served answers, µs, until somebody takes them; bounded by the requests of the plan.
+    /// Response times of served requests, µs, since they were last taken.
     pub latencies: RefCell<Latencies>,
-    /// Answers within their class's aim, by proxy.
+    /// Requests served within the aim of their class, by proxy.
     pub in_time: RefCell<Vec<u32>>,
-    /// Times of refusals, µs, until somebody takes them.
+    /// Response times of refusals, µs, since they were last taken.
     pub refusals: RefCell<Latencies>,
 }
 
 impl Front {
-    /// A front for proxies at these addresses, none of them in service yet.
+    /// A front layer for proxies at these addresses, none of them in service.
     pub fn new(addresses: Vec<SocketAddr>) -> Rc<Self> {
         Rc::new(Front {
-            believed: RefCell::new(vec![false; addresses.len()]),
+            in_service: RefCell::new(vec![false; addresses.len()]),
             in_time: RefCell::new(vec![0; addresses.len()]),
             refusals: RefCell::default(),
             idle: addresses.iter().map(|_| RefCell::default()).collect(),
@@ -65,45 +65,47 @@
         })
     }
 
-    /// Takes a proxy into service or out of it.
-    pub fn believe(&self, proxy: usize, up: bool) {
-        self.believed.borrow_mut()[proxy] = up;
+    /// Puts a proxy into service or takes it out.
+    pub fn set_in_service(&self, proxy: usize, up: bool) {
+        self.in_service.borrow_mut()[proxy] = up;
     }
 
-    /// The proxy for a draw; each further try goes to the next one.
-    fn deal(&self, draw: u32) -> Option<usize> {
-        let believed = self.believed.borrow();
-        let up: Vec<usize> = (0..believed.len()).filter(|p| believed[*p]).collect();
+    /// The proxy in service for a drawn number; the next number gives the next proxy.
+    fn pick_proxy(&self, draw: u32) -> Option<usize> {
+        let in_service = self.in_service.borrow();
+        let up: Vec<usize> = (0..in_service.len()).filter(|p| in_service[*p]).collect();
         (!up.is_empty()).then(|| up[draw as usize % up.len()])
     }
 
-    /// A connection and whether it was used before.
+    /// A connection, idle or new, and whether it was used before.
     async fn connect(&self, proxy: usize) -> Option<(Conn, bool)> {
         if let Some(conn) = self.idle[proxy].borrow_mut().pop() {
             return Some((conn, true));
         }
-        self.fresh(proxy).await
+        self.open_connection(proxy).await
     }
 
-    /// A connection that is surely new.
-    async fn fresh(&self, proxy: usize) -> Option<(Conn, bool)> {
-        let stream = timeout(CONNECT, TcpStream::connect(self.addresses[proxy])).await.ok()?.ok()?;
+    /// A new connection.
+    async fn open_connection(&self, proxy: usize) -> Option<(Conn, bool)> {
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addresses[proxy])).await.ok()?.ok()?;
         Some((Conn::new(stream), false))
     }
 
-    fn park(&self, proxy: usize, conn: Conn) {
+    /// Keeps a connection for reuse, up to the limit.
+    fn keep_idle(&self, proxy: usize, conn: Conn) {
         let mut idle = self.idle[proxy].borrow_mut();
         if idle.len() < IDLE {
             idle.push(conn);
         }
     }
 
-    /// Closes all idle connections, as clients do that have no more to ask.
+    /// Closes all idle connections, as clients do that have no more requests.
     pub fn close(&self) {
         self.idle.iter().for_each(|i| i.borrow_mut().clear());
     }
 
-    fn count(&self, proxy: usize, end: End, took: Micros, aim: Micros) {
+    /// Counts the end of a request.
+    fn count_end(&self, proxy: usize, end: End, took: Micros, aim: Micros) {
         let mut ends = self.ends.get();
         match end {
             End::Served(_) => {
@@ -121,19 +123,19 @@
     }
 }
 
-/// A body and its length: of so many bytes, if it is a long one.
-fn body(upload: Option<usize>, short: &str) -> String {
+/// The Content-Length header, the end of the head and the body: `upload` bytes, or the short body.
+fn length_and_body(upload: Option<usize>, short: &str) -> String {
     match upload {
         Some(bytes) => format!("Content-Length: {bytes}\r\n\r\n{}", "u".repeat(bytes)),
         None => format!("Content-Length: {}\r\n\r\n{short}", short.len()),
     }
 }
 
-/// The text of a request.
-fn text(world: &World, number: usize, left_ms: f64) -> String {
+/// The text of a request on the wire.
+fn request_text(world: &World, number: usize, left_ms: f64) -> String {
     let r = &world.plan.requests[number];
     let class = &world.plan.classes[r.class];
-    let id = world.id(number);
+    let id = world.request_id(number);
     let common = format!(
         "Host: origin.svc\r\nX-Request-ID: {id}\r\nX-Tenant-Id: {}\r\nX-Timeout: {:.3}\r\n",
         TENANTS[r.tenant],
@@ -143,68 +145,68 @@
     match class.effect {
         Effect::Safe => format!("GET /{name}/x?sid={sid:x} HTTP/1.1\r\n{common}\r\n"),
         Effect::Unsafe => {
-            format!("POST /{name}?sid={sid:x} HTTP/1.1\r\n{common}{}", body(r.upload, "answer"))
+            format!("POST /{name}?sid={sid:x} HTTP/1.1\r\n{common}{}", length_and_body(r.upload, "answer"))
         }
         Effect::Keyed(_) => {
-            let body = body(r.upload, "book");
+            let body = length_and_body(r.upload, "book");
             format!("POST /{name}?sid={sid:x} HTTP/1.1\r\n{common}Idempotency-Key: k-{id}\r\n{body}")
         }
     }
 }
 
-/// Asks one request of the plan and writes down what comes of it.
+/// Sends one request of the plan, with retries on other proxies, and records the outcome.
 pub async fn ask(world: Rc<World>, front: Rc<Front>, number: usize) {
     front.open.set(front.open.get() + 1);
     let r = &world.plan.requests[number];
     let deadline = world.now() + (r.timeout_ms * 1000.0) as Micros;
-    let mut reused_again = false;
-    for attempt in 0..TRIES {
+    let mut needs_new = false;
+    for attempt in 0..MAX_TRIES {
         let left = deadline.saturating_sub(world.now()) as f64 / 1000.0;
-        let Some(proxy) = front.deal(r.deal.wrapping_add(attempt)) else { break };
+        let Some(proxy) = front.pick_proxy(r.deal.wrapping_add(attempt)) else { break };
         if left <= 0.0 {
             break;
         }
-        // After a crossing the client takes a connection that is surely new.
-        let conn = if reused_again { front.fresh(proxy).await } else { front.connect(proxy).await };
+        // After a reused connection was closed in the moment of the send, the client opens a new one.
+        let conn = if needs_new { front.open_connection(proxy).await } else { front.connect(proxy).await };
         let Some((mut conn, used)) = conn else { continue };
-        let request = text(&world, number, left);
+        let request = request_text(&world, number, left);
         if r.stops {
-            stop_in_the_middle(&world, &front, (number, proxy), conn, &request).await;
+            send_half(&world, &front, (number, proxy), conn, &request).await;
             return front.open.set(front.open.get() - 1);
         }
         let at = world.now();
-        let wrote = match timeout(STUCK, conn.write(request.as_bytes())).await {
+        let wrote = match timeout(WRITE_TIMEOUT, conn.write(request.as_bytes())).await {
             Ok(wrote) => wrote,
-            Err(_) => break, // the proxy takes no more of it, and owes nothing yet
+            Err(_) => break, // the proxy does not read the rest and owes no response yet
         };
-        // A client's time runs from its last byte.
+        // A client's time starts with the last byte of its request.
         let deadline = if r.upload.is_some() { world.now() + (left * 1000.0) as Micros } else { deadline };
-        let asked = Record::Submitted { request: number as u32, proxy: proxy as u16, at, deadline };
+        let submitted = Record::Submitted { request: number as u32, proxy: proxy as u16, at, deadline };
         if wrote.is_err() && !used {
-            continue; // reset before a byte of it was taken
+            continue; // reset before a byte of it was read
         }
-        world.note(Writer::Clients, asked);
-        let end = wait(&world, number, &mut conn, used, deadline).await;
+        world.record(Writer::Clients, submitted);
+        let end = wait_for_end(&world, number, &mut conn, used, deadline).await;
         let (request, at) = (number as u32, world.now());
-        world.note(Writer::Clients, Record::Finished { request, at, end: end.0 });
+        world.record(Writer::Clients, Record::Finished { request, at, end: end.0 });
         if end.1 {
-            front.park(proxy, conn);
+            front.keep_idle(proxy, conn);
         }
         if end.0 != End::Crossed {
             let took = (at + (r.timeout_ms * 1000.0) as Micros).saturating_sub(deadline);
             let aim = (world.plan.classes[r.class].aim_ms * 1000.0) as Micros;
-            front.count(proxy, end.0, took, aim);
+            front.count_end(proxy, end.0, took, aim);
             front.open.set(front.open.get() - 1);
             return;
         }
-        reused_again = true;
+        needs_new = true;
     }
     front.untaken.set(front.untaken.get() + 1);
     front.open.set(front.open.get() - 1);
 }
 
-/// Writes half of a request and stays: an answer or an end is owed.
-async fn stop_in_the_middle(
+/// Writes half of a request and keeps the connection open: the proxy has to respond or to close it.
+async fn send_half(
     world: &World, front: &Front, (number, proxy): (usize, usize), mut conn: Conn, request: &str,
 ) {
     let half = &request.as_bytes()[..request.len() / 2];
@@ -212,17 +214,19 @@
         return;
     }
     let begun = world.now();
-    let ended = timeout(END_OWED, conn.answer(&world.clock)).await.is_ok();
-    let stood: Micros = world.clock.stalls().iter().filter(|s| s.1 > begun).map(|(a, b)| b - a).sum();
-    if !ended && stood == 0 && front.believed.borrow()[proxy] {
+    let ended = timeout(HALF_REQUEST_TIMEOUT, conn.answer(&world.clock)).await.is_ok();
+    let stalled: Micros = world.clock.stalls().iter().filter(|s| s.1 > begun).map(|(a, b)| b - a).sum();
+    if !ended && stalled == 0 && front.in_service.borrow()[proxy] {
         front.unended.borrow_mut().push((number, proxy, half.len()));
     }
 }
 
-/// Waits for the end of what was asked; the flag says whether the connection may be used again.
-async fn wait(world: &World, number: usize, conn: &mut Conn, used: bool, deadline: Micros) -> (End, bool) {
+/// Waits for the end of a request; the flag tells whether the connection may be reused.
+async fn wait_for_end(
+    world: &World, number: usize, conn: &mut Conn, used: bool, deadline: Micros,
+) -> (End, bool) {
     let r = &world.plan.requests[number];
-    let patience = world.clock.instant(deadline + LATER);
+    let patience = world.clock.instant(deadline + LATE_RESPONSE_WAIT);
     let leaves = r.leaves_ms.map(|ms| world.clock.instant(world.now() + (ms * 1000.0) as Micros));
     let until = leaves.map_or(patience, |l| l.min(patience));
     match timeout_at(until, conn.answer(&world.clock)).await {
@@ -233,7 +237,7 @@
         Ok(Ok(answer)) => {
             let keep = answer.header("connection") != Some("close");
             let end = match answer.status() {
-                200 => match stamp(&answer.body) {
+                200 => match parse_body(&answer.body) {
                     Some((request, attempt)) if request as usize == number => End::Served(Some(attempt)),
                     _ => End::Served(None),
                 },
--- a/crates/sandgap-rig/src/clock.rs
+++ b/crates/sandgap-rig/src/clock.rs
@@ -1,4 +1,4 @@
-//! One clock for all stand-ins, and the stalls of the machine under it.
+//! The clock of a run, shared by all simulated peers, and the detection of stalls of the machine.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,9 +6,10 @@
 
 pub use sandgap_rules::Micros;
 
-/// A beat that comes this much late shows that the machine stood still meanwhile.
-const LATE: Duration = Duration::from_millis(8);
-const BEAT: Duration = Duration::from_millis(4);
+/// A wake-up that is this much late shows that the machine stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(8);
+/// Interval of wake-ups.
+const WAKE_INTERVAL: Duration = Duration::from_millis(4);
 
 /// The run's clock.
 #[derive(Clone)]
@@ -26,34 +27,34 @@
 }
 
 impl Clock {
-    /// Now.
+    /// The current time of the run.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// The instant of a time.
+    /// The instant of a time of the run.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         (self.start + Duration::from_micros(at)).into()
     }
 
-    /// Unix time in whole milliseconds, as discovery tells it.
+    /// Unix time of a time of the run in whole milliseconds, as discovery reports it.
     pub fn unix_ms(&self, at: Micros) -> u64 {
         (self.unix_ms + at as f64 / 1000.0) as u64
     }
 
-    /// Notes for as long as it is polled when the machine kept this process waiting.
+    /// Records stalls of the machine for as long as it is polled.
     pub async fn watch(self) {
         loop {
             let before = Instant::now();
-            tokio::time::sleep(BEAT).await;
-            if before.elapsed() > BEAT + LATE {
+            tokio::time::sleep(WAKE_INTERVAL).await;
+            if before.elapsed() > WAKE_INTERVAL + STALL_THRESHOLD {
                 let end = self.now();
                 self.stalls.borrow_mut().push((end - before.elapsed().as_micros() as Micros, end));
             }
         }
     }
 
-    /// The stalls seen so far.
+    /// The stalls so far: start and end.
     pub fn stalls(&self) -> Vec<(Micros, Micros)> {
         self.stalls.borrow().clone()
     }
--- a/crates/sandgap-rig/src/http.rs
+++ b/crates/sandgap-rig/src/http.rs
@@ -1,33 +1,33 @@
-//! HTTP/1.1 messages read off a socket with the times of their first and last byte. Stand-ins write theirs as
-//! plain text, since many are meant to be wrong.
+//! Reads HTTP/1.1 messages from a socket, with the times of their first and last byte. Simulated peers write messages as plain
+//! text, since many are malformed on purpose.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
 use crate::clock::{Clock, Micros};
-use crate::limits::{HEADERS, MESSAGE};
+use crate::limits::{MAX_HEADERS, MAX_MESSAGE_BYTES};
 
-/// Why no message came.
+/// Why no message could be read.
 #[derive(Debug, thiserror::Error, PartialEq, Eq, Clone, Copy)]
 pub enum ReadError {
     /// The connection ended before the first byte of a message.
-    #[error("the connection ended between messages")]
+    #[error("the connection ended before a message")]
     Ended,
-    /// It ended or broke within one.
+    /// The connection ended or failed within a message.
     #[error("the connection ended within a message")]
-    Cut,
-    /// What came is no message of a known length.
-    #[error("what came is no HTTP message")]
+    Truncated,
+    /// The bytes are no message of a known length within the limits.
+    #[error("not a valid HTTP message")]
     Malformed,
 }
 
-/// A message: the first line's parts are kept apart by the reader of each side.
+/// A request or a response.
 #[derive(Debug, Clone)]
 pub struct Message {
-    /// Method and target of a request; empty and the status' digits of an answer.
+    /// The method of a request; empty for a response.
     pub method: String,
-    /// The target or the status.
+    /// The target of a request; the digits of a response's status.
     pub target: String,
     headers: Vec<(String, String)>,
     /// The body.
@@ -39,25 +39,25 @@
 }
 
 impl Message {
-    /// A header's value.
+    /// The value of a header, whose name is compared without case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// An answer's status; 0 for a request.
+    /// The status of a response; 0 for a request.
     pub fn status(&self) -> u16 {
         if self.method.is_empty() { self.target.parse().unwrap_or(0) } else { 0 }
     }
 }
 
-/// A connection and what has been read ahead of it.
+/// A connection and the bytes read from it ahead.
 pub struct Conn {
     /// The socket.
     pub stream: TcpStream,
     buffer: BytesMut,
 }
 
-/// The head of a message: where it ends, and how long the body is.
+/// The head of a message, its size and that of the body, bytes.
 struct Head {
     method: String,
     target: String,
@@ -67,28 +67,29 @@
 }
 
 impl Conn {
-    /// A connection that nothing has been read from.
+    /// A connection from which nothing has been read.
     pub fn new(stream: TcpStream) -> Self {
-        let _ = stream.set_nodelay(true); // slower without, no worse
+        let _ = stream.set_nodelay(true); // without it the connection is only slower
         Conn { stream, buffer: BytesMut::new() }
     }
 
-    /// Whether a message has begun.
+    /// Whether bytes of a message have been read.
     pub fn has_begun(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Writes bytes.
+    /// Writes all bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Waits until the first byte of a message is there; false at the end of the connection.
+    /// Waits for the first byte of a message; false if the connection ended.
     pub async fn begin(&mut self) -> bool {
-        self.has_begun() || self.more().await
+        self.has_begun() || self.read_more().await
     }
 
-    async fn more(&mut self) -> bool {
+    /// Reads more bytes; false if the connection ended or failed.
+    async fn read_more(&mut self) -> bool {
         matches!(self.stream.read_buf(&mut self.buffer).await, Ok(n) if n > 0)
     }
 
@@ -100,12 +101,12 @@
         self.message(clock, request_head).await
     }
 
-    /// Reads an answer.
+    /// Reads a response.
     ///
     /// # Errors
     /// See [`ReadError`].
     pub async fn answer(&mut self, clock: &Clock) -> Result<Message, ReadError> {
-        self.message(clock, answer_head).await
+        self.message(clock, response_head).await
     }
 
     async fn message(
@@ -119,19 +120,19 @@
             if let Some(head) = parse(&self.buffer)? {
                 break head;
             }
-            if self.buffer.len() > MESSAGE {
+            if self.buffer.len() > MAX_MESSAGE_BYTES {
                 return Err(ReadError::Malformed);
             }
-            if !self.more().await {
-                return Err(ReadError::Cut);
+            if !self.read_more().await {
+                return Err(ReadError::Truncated);
             }
         };
-        if head.body > MESSAGE {
+        if head.body > MAX_MESSAGE_BYTES {
             return Err(ReadError::Malformed);
         }
         while self.buffer.len() < head.size + head.body {
-            if !self.more().await {
-                return Err(ReadError::Cut);
+            if !self.read_more().await {
+                return Err(ReadError::Truncated);
             }
         }
         self.buffer.advance(head.size);
@@ -142,7 +143,7 @@
 }
 
 fn request_head(bytes: &[u8]) -> Result<Option<Head>, ReadError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(bytes) {
         Ok(httparse::Status::Partial) => Ok(None),
@@ -154,13 +155,13 @@
     }
 }
 
-fn answer_head(bytes: &[u8]) -> Result<Option<Head>, ReadError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
-    let mut answer = httparse::Response::new(&mut headers);
-    match answer.parse(bytes) {
+fn response_head(bytes: &[u8]) -> Result<Option<Head>, ReadError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    match response.parse(bytes) {
         Ok(httparse::Status::Partial) => Ok(None),
         Ok(httparse::Status::Complete(size)) => {
-            head("", answer.code.unwrap_or(0).to_string(), answer.headers, size)
+            head("", response.code.unwrap_or(0).to_string(), response.headers, size)
         }
         Err(_) => Err(ReadError::Malformed),
     }
--- a/crates/sandgap-rig/src/lib.rs
+++ b/crates/sandgap-rig/src/lib.rs
@@ -1,7 +1,7 @@
-//! Everything that stands round a proxy under test: backends, discovery, a front layer, clients and the network
-//! between proxies, all on loopback; faults drawn from a seed; and the ledger of [`sandgap_rules`] that checks the four rules.
+//! The test environment of a proxy process: simulated backends, discovery, front layer, clients and the network between
+//! proxies, all on loopback; faults drawn from a seed; and the ledger of [`sandgap_rules`], which checks the four rules.
 //!
-//! `schedule` and `machine` do no I/O. The rig knows the wire formats and nothing of the daemon.
+//! `schedule` and `machine` do no I/O. The rig depends on the wire formats only, not on the daemon.
 
 pub mod backend;
 pub mod bench;
--- a/crates/sandgap-rig/src/process.rs
+++ b/crates/sandgap-rig/src/process.rs
@@ -1,20 +1,20 @@
-//! What the system tells of a process (proc(5)): processor time, peak memory, bytes written to disk.
+//! Resource usage of a process by proc(5): processor time, peak memory, bytes written to disk.
 
-/// Ticks of the system's clock in a second, as /proc shows them on Linux (USER_HZ).
+/// Clock ticks per second in /proc on Linux (USER_HZ).
 const TICKS_PER_SECOND: u64 = 100;
 
-/// Figures of one process since its start.
+/// Resource usage of a process since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Processor time of all its threads, user and system, µs.
     pub cpu_us: u64,
     /// Peak of its resident memory, KiB.
     pub peak_kib: u64,
-    /// Bytes that it had the disk write.
+    /// Bytes that it caused to be written to disk.
     pub written: u64,
 }
 
-/// Figures of a process that runs; zeros where it has ended.
+/// Resource usage of a running process; zeros if it has ended.
 pub fn usage(id: u32) -> Usage {
     let read = |file: &str| std::fs::read_to_string(format!("/proc/{id}/{file}")).unwrap_or_default();
     Usage {
@@ -24,20 +24,20 @@
     }
 }
 
-/// Figures of this process.
+/// Resource usage of this process.
 pub fn own() -> Usage {
     usage(std::process::id())
 }
 
-/// Processor time by the text of `stat`: the fields after the name, which may hold spaces.
+/// Processor time in µs from the text of `stat`: the fields after the name, which may contain spaces.
 fn cpu_us(stat: &str) -> u64 {
-    const USER: usize = 11; // fields behind the state, which follows the name
+    const USER: usize = 11; // index after the name and its parenthesis; the process state is field 0
     let Some((_, fields)) = stat.rsplit_once(") ") else { return 0 };
     let ticks = fields.split(' ').skip(USER).take(2).filter_map(|t| t.parse::<u64>().ok());
     ticks.sum::<u64>() * 1_000_000 / TICKS_PER_SECOND
 }
 
-/// The number behind a key at the beginning of a line.
+/// The number after a key at the beginning of a line; 0 if there is none.
 fn field(text: &str, key: &str) -> u64 {
     let line = text.lines().find_map(|line| line.strip_prefix(key));
     line.and_then(|rest| rest.split_whitespace().next()?.parse().ok()).unwrap_or(0)
@@ -48,7 +48,7 @@
     use super::*;
 
     #[test]
-    fn the_system_s_texts_are_read_by_their_fields() {
+    fn usage_is_parsed_from_the_texts_of_proc() {
         let stat = "17 (a (strange) name) S 1 17 17 0 -1 4194560 9 0 0 0 250 150 0 0 20 0 1 0 9 9 9";
         assert_eq!(cpu_us(stat), 4_000_000);
         assert_eq!(field("Name:\tx\nVmHWM:\t  1234 kB\n", "VmHWM:"), 1234);
--- a/crates/sandgap-rig/src/proxy.rs
+++ b/crates/sandgap-rig/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies under test, as processes: configuration, signals, processor time and memory.
+//! Processes of proxies under test: configuration, signals, processor time and memory.
 
 use std::cell::{Cell, RefCell};
 use std::fs::File;
@@ -15,24 +15,24 @@
 
 use crate::discovery;
 use crate::http::Conn;
-use crate::limits::PATIENCE;
+use crate::limits::WAIT_TIMEOUT;
 use crate::schedule::{GRACE_MS, Plan, TENANTS};
 use crate::system_faults::FaultLibrary;
 use crate::world::World;
 use sandgap_rules::Effect;
 
-/// How a proxy is started: a program and its arguments. It finds its configuration by NODE_CONFIG.
+/// How a proxy is started: a program and its arguments. The environment variable NODE_CONFIG names its configuration.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program.
+    /// Path of the executable.
     pub path: PathBuf,
     /// Its arguments.
     pub args: Vec<String>,
     /// The processor that it is bound to.
     pub cpu: Option<usize>,
-    /// Whether it writes a trace beside its log; measures want none.
+    /// Whether it writes a trace beside its log; measurements run without one.
     pub traces: bool,
-    /// What fails under it.
+    /// Library that makes its system calls fail, if any.
     pub faults: Option<FaultLibrary>,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// A proxy that could not be run as the scenario wants.
+/// A proxy process that did not behave as the scenario requires.
 #[derive(Debug, thiserror::Error)]
 pub enum ProxyError {
     /// It did not start.
@@ -52,7 +52,7 @@
     /// It ended by itself.
     #[error("proxy {0} ended by itself ({1}); its log: {2}")]
     Ended(usize, String, PathBuf),
-    /// It never came up.
+    /// It did not come up in time.
     #[error("proxy {0} is not up after {1:?}; its log: {2}")]
     NotUp(usize, Duration, PathBuf),
     /// It did not stop after SIGTERM.
@@ -60,32 +60,32 @@
     NotEnded(usize, Duration, PathBuf),
 }
 
-/// Where a proxy lives.
+/// The addresses of a proxy.
 pub struct Place {
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where datagrams arrive, and its view of the others: their addresses, and that of all.
+    /// Where it receives datagrams, the addresses of all proxies as seen by it, and the address that reaches all others.
     pub peers: Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)>,
-    /// Discovery, wherever it may be moved.
+    /// Addresses of discovery, among which it can be moved.
     pub discovery: discovery::Addresses,
 }
 
-/// A proxy.
+/// A proxy under test.
 pub struct Proxy {
     /// Its number.
     pub number: usize,
-    /// Where it lives.
+    /// Its addresses.
     pub place: Place,
     program: Program,
     folder: PathBuf,
     child: RefCell<Option<std::process::Child>>,
     starts: Cell<u64>,
     reloads: Cell<u64>,
-    /// Times that discovery has been moved.
+    /// How often its discovery was moved.
     moves: Cell<usize>,
 }
 
-/// The settings object, as the platform's first message has it.
+/// The settings object, in the form of the platform's first message.
 pub fn settings(plan: &Plan, me: usize, peers: bool) -> Value {
     let class = |c: &crate::schedule::Class| {
         let mut value =
@@ -104,7 +104,7 @@
     };
     let rate =
         plan.requests.len() as f64 / (plan.requests.last().map_or(1.0, |r| r.at as f64 / 1e6)).max(0.1);
-    let account = |(name, share): (&&str, f64)| json!({"name": name, "allowancePerS": rate * share * 1.5});
+    let tenant = |(name, share): (&&str, f64)| json!({"name": name, "allowancePerS": rate * share * 1.5});
     json!({
         "myNumber": me,
         "nInstances": plan.proxies,
@@ -114,7 +114,7 @@
         "discovery": if plan.asked { "on_request" } else { "pushed" },
         "weightSource": "nominal",
         "overShareWorth": 0.2,
-        "accounts": TENANTS.iter().zip([0.72, 0.28]).map(account).collect::<Vec<_>>(),
+        "accounts": TENANTS.iter().zip([0.72, 0.28]).map(tenant).collect::<Vec<_>>(),
         "classes": plan.classes.iter().map(class).collect::<Vec<_>>(),
         "ceilings": {"maxAttempts": 6, "dialTimeout": 250, "idleClose": 15000, "mayTell": peers},
         "rules": {"startCapacity": plan.cold.start, "cold": plan.cold.warm_ms, "fall": plan.cold.span_ms,
@@ -123,18 +123,18 @@
 }
 
 impl Proxy {
-    /// A proxy that has not started.
+    /// A proxy whose process has not started.
     pub fn new(number: usize, place: Place, program: Program, folder: &Path) -> Rc<Self> {
         let (child, starts, reloads, moves) = Default::default();
         Rc::new(Proxy { number, place, program, folder: folder.to_owned(), child, starts, reloads, moves })
     }
 
-    /// Starts its process; `known` is the list as it last had it.
+    /// Starts its process; `known` is the list of backends as it last had it, as JSON.
     ///
     /// # Errors
     /// [`ProxyError::Start`].
     pub fn start(&self, world: &World, known: &str) -> Result<(), ProxyError> {
-        let run = || {
+        let spawn = || {
             let start = self.starts.replace(self.starts.get() + 1);
             let seed =
                 world.plan.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (start << 8) ^ self.number as u64;
@@ -173,18 +173,18 @@
             *self.child.borrow_mut() = Some(child);
             Ok(())
         };
-        run().map_err(|e| ProxyError::Start(self.number, e))
+        spawn().map_err(|e| ProxyError::Start(self.number, e))
     }
 
-    /// Where its configuration says that discovery is.
+    /// The address of discovery in its configuration.
     fn discovery(&self) -> SocketAddr {
         self.place.discovery[self.moves.get() % self.place.discovery.len()]
     }
 
-    /// Writes its configuration anew, with other worths and times, and says so.
+    /// Rewrites its configuration with another worth and another idle time, and sends SIGHUP.
     ///
     /// # Errors
-    /// [`ProxyError::Start`], where the file can't be written.
+    /// [`ProxyError::Start`], if the file can't be written.
     pub fn reload(&self) -> Result<(), ProxyError> {
         let reloads = self.reloads.replace(self.reloads.get() + 1);
         self.reconfigure(|config| {
@@ -193,15 +193,17 @@
         })
     }
 
-    /// Writes its configuration anew with discovery elsewhere, and says so. It goes on where it was, too.
+    /// Rewrites its configuration with another address of discovery, and sends SIGHUP. Discovery remains reachable at the old
+    /// address.
     ///
     /// # Errors
-    /// [`ProxyError::Start`], where the file can't be written.
+    /// [`ProxyError::Start`], if the file can't be written.
     pub fn move_discovery(&self) -> Result<(), ProxyError> {
         self.moves.set(self.moves.get() + 1);
         self.reconfigure(|config| config["discovery"] = json!(self.discovery()))
     }
 
+    /// Changes its configuration file and sends SIGHUP.
     fn reconfigure(&self, change: impl FnOnce(&mut Value)) -> Result<(), ProxyError> {
         let path = self.folder.join(format!("n{}.json", self.number));
         let write = || {
@@ -214,19 +216,19 @@
         Ok(())
     }
 
-    /// Its log.
+    /// Path of its log.
     pub fn log(&self) -> PathBuf {
         self.folder.join(format!("n{}.log", self.number))
     }
 
-    /// Waits until `GET /up` is answered 200.
+    /// Waits until `GET /up` returns 200.
     ///
     /// # Errors
     /// [`ProxyError::NotUp`] or [`ProxyError::Ended`].
-    pub async fn up(&self, world: &World) -> Result<(), ProxyError> {
+    pub async fn wait_until_up(&self, world: &World) -> Result<(), ProxyError> {
         let wait = async {
             loop {
-                if let Some(end) = self.ended() {
+                if let Some(end) = self.exit_status() {
                     return Err(ProxyError::Ended(self.number, end, self.log()));
                 }
                 if self.is_up(world).await {
@@ -235,7 +237,11 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(PATIENCE, wait).await.unwrap_or(Err(ProxyError::NotUp(self.number, PATIENCE, self.log())))
+        timeout(WAIT_TIMEOUT, wait).await.unwrap_or(Err(ProxyError::NotUp(
+            self.number,
+            WAIT_TIMEOUT,
+            self.log(),
+        )))
     }
 
     async fn is_up(&self, world: &World) -> bool {
@@ -245,8 +251,8 @@
         asked.is_ok() && conn.answer(&world.clock).await.is_ok_and(|a| a.status() == 200)
     }
 
-    /// How its process ended, if it did.
-    pub fn ended(&self) -> Option<String> {
+    /// The exit status of its process, if it has ended.
+    pub fn exit_status(&self) -> Option<String> {
         let mut child = self.child.borrow_mut();
         child.as_mut().and_then(|c| c.try_wait().ok().flatten()).map(|s| s.to_string())
     }
@@ -255,24 +261,26 @@
     ///
     /// # Errors
     /// [`ProxyError::NotEnded`].
-    pub async fn end(&self) -> Result<(), ProxyError> {
+    pub async fn wait_until_ended(&self) -> Result<(), ProxyError> {
         let wait = async {
-            while self.ended().is_none() {
+            while self.exit_status().is_none() {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(PATIENCE, wait).await.map_err(|_| ProxyError::NotEnded(self.number, PATIENCE, self.log()))
+        timeout(WAIT_TIMEOUT, wait)
+            .await
+            .map_err(|_| ProxyError::NotEnded(self.number, WAIT_TIMEOUT, self.log()))
     }
 
     /// Sends a signal to its process, if there is one.
     pub fn signal(&self, signal: Signal) {
         let child = self.child.borrow();
         if let Some(pid) = child.as_ref().and_then(|c| Pid::from_raw(c.id() as i32)) {
-            let _ = kill_process(pid, signal); // it may just have ended
+            let _ = kill_process(pid, signal); // the process may just have ended
         }
     }
 
-    /// Kills it and forgets it.
+    /// Kills its process and waits for its end.
     pub fn kill(&self) {
         if let Some(mut child) = self.child.borrow_mut().take() {
             let _ = child.kill();
@@ -295,7 +303,7 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.signal(Signal::CONT); // a stopped one too
+        self.signal(Signal::CONT); // a suspended process, too
         self.kill();
     }
 }
--- a/crates/sandgap-rig/src/run.rs
+++ b/crates/sandgap-rig/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a plan: stand-ins, proxies, load, faults, and the verdict at the end.
+//! Runs a plan: simulated peers, proxies, load and faults, and the verdict at the end.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -13,88 +13,88 @@
 use crate::client::{Front, ask};
 use crate::clock::Micros;
 use crate::discovery::{Discovery, Health};
-use crate::limits::PATIENCE;
-use crate::peers::{Network, Weather};
+use crate::limits::WAIT_TIMEOUT;
+use crate::peers::{DatagramFaults, Network};
 use crate::proxy::{Place, Program, Proxy, ProxyError};
 use crate::schedule::{Fault, GRACE_MS, Plan};
 use crate::system_faults::{FaultLibrary, SystemFaults};
 use crate::world::{Addresses, World};
 use sandgap_rules::{Effect, Ledger, Record, Terms, Verdict, Writer};
 
-/// What sockets and schedulers may cost, on each of the rules' time limits.
+/// Tolerance on each time limit of the rules for the delay of sockets and schedulers, µs.
 pub const SLACK: Micros = 50_000;
-/// An attempt that begins later than this after its client has left is a lost request, by the operators' terms.
+/// An attempt that begins later than this after its client has left counts as a lost request, by the operators' terms, µs.
 const AFTER_LEAVING: Micros = 100_000;
-/// How long a process is held up at most where the plan says so.
-const HELD_UP: Micros = 150_000;
-/// The front goes on dealing connections to a proxy for this long after its SIGTERM; by the protocol 0.2 to 0.4 s.
+/// The longest that a process is delayed by a `held_up` system fault, µs.
+const MAX_HOLD_UP: Micros = 150_000;
+/// The front keeps assigning connections to a proxy for this long after its SIGTERM; 0.2 to 0.4 s by the protocol.
 const TERM_NOTICE: Duration = Duration::from_millis(250);
 
-/// Why there is no verdict.
+/// Why a run has no verdict.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The system gave no address, file or thread.
+    /// The system provided no address, file or thread.
     #[error("the rig can't run here: {0}")]
     System(#[from] std::io::Error),
     /// A proxy could not be run.
     #[error(transparent)]
     Proxy(#[from] ProxyError),
-    /// A process may not hold as many links as its hollow proxies would have.
+    /// A process may not open as many descriptors as the links of its hollow proxies need.
     #[error(
         "{in_one} hollow proxies in one process need {needed} descriptors, and it may have {limit}: let fewer share one"
     )]
     Descriptors {
         /// Hollow proxies that share a process.
         in_one: usize,
-        /// What their links take once each knows all others.
+        /// Descriptors that their links need once each knows all others.
         needed: usize,
-        /// What the system allows a process.
+        /// The system's limit for a process.
         limit: u64,
     },
-    /// Something never came to its end.
+    /// Something did not end in time.
     #[error("{0} has no end after {1:?}")]
     Endless(&'static str, Duration),
 }
 
-/// What a run found beside its verdict.
+/// The verdict of a run and further findings.
 pub struct Outcome {
     /// The verdict.
     pub verdict: Verdict,
-    /// Requests that found no proxy in service.
+    /// Requests that no proxy accepted.
     pub untaken: u32,
-    /// Datagrams over the protocol's size.
+    /// Datagrams larger than the protocol allows.
     pub oversized: u32,
-    /// Clients that stopped in the middle of a request and had no end in time: the request, its proxy, bytes sent.
+    /// Clients that stopped within a request and got no response or close in time: the request, its proxy, bytes sent.
     pub unended: Vec<(usize, usize, usize)>,
-    /// Rules that the proxies say they would have broken, by their traces.
+    /// Violations that the proxies recorded in their traces.
     pub violations: Vec<String>,
-    /// Spans in which the machine kept the rig waiting, and their sum, ms.
+    /// Number of spans in which the machine delayed the rig, and their total, ms.
     pub stalls: (usize, f64),
-    /// Wall time of the load, s.
+    /// Wall-clock time of the load, s.
     pub seconds: f64,
-    /// Where the proxies' logs are; the folder goes with this value.
+    /// The folder of the proxies' logs, removed when this value is dropped unless it is kept.
     pub logs: Folder,
 }
 
-/// A folder for one run's files, removed with the value.
+/// A folder for the files of a run, removed on drop unless it is kept.
 pub struct Folder {
-    /// Where.
+    /// Its path.
     pub path: PathBuf,
     keep: bool,
 }
 
 impl Folder {
-    /// A folder named after `tag`.
+    /// Creates a folder in the system's temporary directory, named after `tag`.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's, if it can't be created.
     pub fn new(tag: &str) -> std::io::Result<Self> {
         let path = std::env::temp_dir().join(format!("sandgap-rig-{tag}"));
         std::fs::create_dir_all(&path)?;
         Ok(Folder { path, keep: false })
     }
 
-    /// Leaves the files where they are.
+    /// Keeps the folder after this value is dropped.
     pub fn keep(&mut self) {
         self.keep = true;
     }
@@ -109,7 +109,7 @@
 }
 
 impl Outcome {
-    /// Whether all rules were seen to hold, whoever saw it.
+    /// Whether all rules held by the ledger and by the proxies' traces, and every stopped client got an end.
     pub fn passes(&self) -> bool {
         self.verdict.passes() && self.violations.is_empty() && self.unended.is_empty()
     }
@@ -125,15 +125,15 @@
     }
 }
 
-/// What the proxies' traces say of rules that would have been broken.
+/// The violation events in the proxies' traces.
 fn violations(folder: &std::path::Path) -> std::io::Result<Vec<String>> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
         if path.extension().is_some_and(|e| e == "trace") {
             let text = std::fs::read_to_string(&path)?;
-            let said = text.lines().filter(|line| line.contains(r#""event":"violation""#));
-            found.extend(said.map(str::to_owned));
+            let events = text.lines().filter(|line| line.contains(r#""event":"violation""#));
+            found.extend(events.map(str::to_owned));
         }
     }
     Ok(found)
@@ -141,29 +141,30 @@
 
 /// A run in progress.
 pub struct Stage {
-    /// What all share.
+    /// The clock, the plan and the ledger.
     pub world: Rc<World>,
-    /// Discovery.
+    /// The discovery service.
     pub discovery: Rc<Discovery>,
-    /// Backends, those that joined later too.
+    /// The backends, including those that joined later.
     pub backends: RefCell<Vec<Rc<Backend>>>,
-    /// Proxies.
+    /// The proxies under test.
     pub proxies: Vec<Rc<Proxy>>,
     /// The front layer and its clients.
     pub front: Rc<Front>,
     network: Rc<Network>,
     addresses: Addresses,
-    /// The first thing that made a verdict impossible.
+    /// The first error that made a verdict impossible.
     error: RefCell<Option<RunError>>,
-    /// When a proxy was stopped.
+    /// By proxy: since when it is suspended by SIGSTOP.
     stopped: RefCell<Vec<Option<Micros>>>,
+    /// By proxy: whether it is ending or starting.
     busy: RefCell<Vec<bool>>,
-    /// Those that have been killed and not started again.
+    /// By proxy: whether it was killed and not started again.
     killed: RefCell<Vec<bool>>,
 }
 
 impl Stage {
-    /// Sets the stage: backends, discovery, network; proxies are made and not started.
+    /// Starts the backends, discovery and the network, and creates the proxies without starting them.
     pub async fn set(
         plan: Plan, ledger: Ledger, program: &Program, folder: &Folder, peers: bool,
     ) -> Result<Rc<Self>, RunError> {
@@ -198,28 +199,28 @@
             world,
         });
         for number in 0..stage.world.plan.initial {
-            stage.join(number, false)?;
+            stage.start_backend(number, false)?;
         }
         Ok(stage)
     }
 
-    fn join(&self, number: usize, fresh: bool) -> std::io::Result<()> {
+    fn start_backend(&self, number: usize, fresh: bool) -> std::io::Result<()> {
         let addresses =
             (0..self.proxies.len()).map(|_| self.addresses.draw()).collect::<Result<Vec<_>, _>>()?;
         let backend = Backend::start(&self.world, number, addresses, fresh);
-        self.discovery.say(&backend, Health::Up);
+        self.discovery.announce(&backend, Health::Up);
         self.backends.borrow_mut().push(backend);
         Ok(())
     }
 
-    /// Starts all proxies and waits until they are up.
+    /// Starts all proxies, waits until they are up and puts them into service.
     pub async fn start(&self) -> Result<(), RunError> {
         for proxy in &self.proxies {
             proxy.start(&self.world, "null")?;
         }
         for proxy in &self.proxies {
-            proxy.up(&self.world).await?;
-            self.front.believe(proxy.number, true);
+            proxy.wait_until_up(&self.world).await?;
+            self.front.set_in_service(proxy.number, true);
         }
         Ok(())
     }
@@ -228,11 +229,11 @@
         self.backends.borrow().iter().find(|b| b.number == number).cloned()
     }
 
-    fn fail(&self, error: impl Into<RunError>) {
+    fn record_error(&self, error: impl Into<RunError>) {
         self.error.borrow_mut().get_or_insert(error.into());
     }
 
-    /// Lets a fault happen.
+    /// Injects a fault.
     pub fn happen(self: &Rc<Self>, fault: Fault) {
         match fault {
             Fault::Mode(b, mode) => {
@@ -240,38 +241,40 @@
                     backend.set(mode);
                 }
             }
-            Fault::Drain(b) => self.say(b, Health::Draining),
-            Fault::Undrain(b) => self.say(b, Health::Up),
+            Fault::Drain(b) => self.announce(b, Health::Draining),
+            Fault::Undrain(b) => self.announce(b, Health::Up),
             Fault::Remove(b) => {
                 if let Some(backend) = self.backend(b) {
                     backend.end();
                 }
-                self.say(b, Health::Removed);
+                self.announce(b, Health::Removed);
             }
             Fault::Join(b) => {
-                if let Err(e) = self.join(b, true) {
-                    self.fail(e);
+                if let Err(e) = self.start_backend(b, true) {
+                    self.record_error(e);
                 }
             }
             Fault::DiscoverySilent(silent) => self.discovery.set_silent(silent),
             Fault::DiscoverySplit(p, split) => self.discovery.set_split(p, split),
-            Fault::DiscoveryStale => self.discovery.repeat_old(),
-            Fault::DiscoveryBroken => self.discovery.garble(),
+            Fault::DiscoveryStale => self.discovery.send_stale_list(),
+            Fault::DiscoveryBroken => self.discovery.send_broken_line(),
             Fault::DiscoveryEnds => self.discovery.end_watches(),
-            Fault::Datagrams(lost, late, doubled) => self.network.set(Weather { lost, late, doubled }),
-            Fault::FrontNotices(p) => self.front.believe(p, false),
+            Fault::Datagrams(lost, late, duplicated) => {
+                self.network.set(DatagramFaults { lost, late, duplicated })
+            }
+            Fault::FrontNotices(p) => self.front.set_in_service(p, false),
             Fault::Reload(p) => self.reconfigure(p, Proxy::reload),
             Fault::MoveDiscovery(p) => self.reconfigure(p, Proxy::move_discovery),
-            Fault::Term(p) => self.term(p),
+            Fault::Term(p) => self.terminate(p),
             Fault::Kill(p) => self.kill(p),
-            // Of one that was busy when it should have been killed nothing has to be started.
+            // A proxy that was busy at the time of the kill was not killed, so there is nothing to start.
             Fault::Start(p) => {
                 if std::mem::take(&mut self.killed.borrow_mut()[p]) {
                     self.restart(p);
                 }
             }
             Fault::Stop(p) => self.stop(p),
-            Fault::Continue(p) => self.go_on(p),
+            Fault::Continue(p) => self.resume(p),
         }
     }
 
@@ -279,22 +282,22 @@
         if self.is_free(p)
             && let Err(e) = change(&self.proxies[p])
         {
-            self.fail(e);
+            self.record_error(e);
         }
     }
 
-    fn say(&self, backend: usize, health: Health) {
-        if let Some(backend) = self.backend(backend).filter(|b| !b.is_gone() || health == Health::Removed) {
-            self.discovery.say(&backend, health);
+    fn announce(&self, backend: usize, health: Health) {
+        if let Some(backend) = self.backend(backend).filter(|b| !b.has_ended() || health == Health::Removed) {
+            self.discovery.announce(&backend, health);
         }
     }
 
-    /// A proxy that restarts at present is left alone by further faults.
+    /// Whether a proxy is neither restarting nor suspended. Faults skip a proxy that is.
     fn is_free(&self, p: usize) -> bool {
         !self.busy.borrow()[p] && self.stopped.borrow()[p].is_none()
     }
 
-    fn term(self: &Rc<Self>, p: usize) {
+    fn terminate(self: &Rc<Self>, p: usize) {
         if !self.is_free(p) {
             return;
         }
@@ -303,10 +306,10 @@
         spawn_local(async move {
             stage.proxies[p].signal(Signal::TERM);
             sleep(TERM_NOTICE).await;
-            stage.front.believe(p, false);
-            match stage.proxies[p].end().await {
+            stage.front.set_in_service(p, false);
+            match stage.proxies[p].wait_until_ended().await {
                 Ok(()) => stage.restart(p),
-                Err(e) => stage.fail(e),
+                Err(e) => stage.record_error(e),
             }
         });
     }
@@ -317,25 +320,25 @@
         }
         self.busy.borrow_mut()[p] = true;
         self.killed.borrow_mut()[p] = true;
-        self.world.note(Writer::Runner, Record::ProxyKilled { proxy: p as u16, at: self.world.now() });
+        self.world.record(Writer::Runner, Record::ProxyKilled { proxy: p as u16, at: self.world.now() });
         self.proxies[p].kill();
-        // What reaches its port from here on meets nobody.
-        self.world.note(Writer::Runner, Record::ProxyKilled { proxy: p as u16, at: self.world.now() });
+        // Recorded again after the process has ended: nothing listens on its port from here on.
+        self.world.record(Writer::Runner, Record::ProxyKilled { proxy: p as u16, at: self.world.now() });
     }
 
     fn restart(self: &Rc<Self>, p: usize) {
         let stage = self.clone();
         spawn_local(async move {
-            stage.front.believe(p, false);
-            let known = stage.discovery.known(p);
+            stage.front.set_in_service(p, false);
+            let known_list = stage.discovery.known_list(p);
             let proxy = &stage.proxies[p];
-            let up = match proxy.start(&stage.world, &known) {
-                Ok(()) => proxy.up(&stage.world).await,
+            let up = match proxy.start(&stage.world, &known_list) {
+                Ok(()) => proxy.wait_until_up(&stage.world).await,
                 Err(e) => Err(e),
             };
             match up {
-                Ok(()) => stage.front.believe(p, true),
-                Err(e) => stage.fail(e),
+                Ok(()) => stage.front.set_in_service(p, true),
+                Err(e) => stage.record_error(e),
             }
             stage.busy.borrow_mut()[p] = false;
         });
@@ -348,21 +351,21 @@
         }
     }
 
-    fn go_on(self: &Rc<Self>, p: usize) {
+    fn resume(self: &Rc<Self>, p: usize) {
         let Some(from) = self.stopped.borrow_mut()[p].take() else { return };
         self.proxies[p].signal(Signal::CONT);
         let to = self.world.now();
-        self.world.note(Writer::Runner, Record::ProxyPaused { proxy: p as u16, from, to });
+        self.world.record(Writer::Runner, Record::ProxyPaused { proxy: p as u16, from, to });
         let stage = self.clone();
         spawn_local(async move {
-            match stage.proxies[p].up(&stage.world).await {
-                Ok(()) => stage.front.believe(p, true),
-                Err(e) => stage.fail(e),
+            match stage.proxies[p].wait_until_up(&stage.world).await {
+                Ok(()) => stage.front.set_in_service(p, true),
+                Err(e) => stage.record_error(e),
             }
         });
     }
 
-    /// Plays the load and the faults, and waits until all that was asked has its end.
+    /// Runs the load and the faults, and waits until all requests have ended.
     pub async fn play(self: &Rc<Self>) -> Result<(), RunError> {
         let begin = self.world.now();
         let mut steps = self.world.plan.steps.iter().peekable();
@@ -379,21 +382,21 @@
         self.finish().await
     }
 
-    /// Waits until all that was asked has its end, and ends the proxies.
+    /// Waits until all requests have ended, and stops the proxies.
     ///
     /// # Errors
-    /// What went wrong meanwhile, or that it takes too long.
+    /// The first error of the run, or that the wait takes too long.
     pub async fn finish(self: &Rc<Self>) -> Result<(), RunError> {
-        (0..self.proxies.len()).for_each(|p| self.go_on(p));
+        (0..self.proxies.len()).for_each(|p| self.resume(p));
         self.front_settled().await?;
         self.discovery.set_silent(false);
-        self.settle_backends().await
+        self.stop_proxies().await
     }
 
-    /// Waits until all that clients asked has its end.
+    /// Waits until all requests of clients have ended and no proxy is ending or starting.
     ///
     /// # Errors
-    /// What went wrong meanwhile, or that it takes too long.
+    /// The first error of the run, or that the wait takes too long.
     pub async fn front_settled(&self) -> Result<(), RunError> {
         let wait = async {
             while self.front.open.get() > 0
@@ -402,32 +405,35 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(PATIENCE, wait).await.map_err(|_| RunError::Endless("a request", PATIENCE))?;
+        timeout(WAIT_TIMEOUT, wait).await.map_err(|_| RunError::Endless("a request", WAIT_TIMEOUT))?;
         self.error.borrow_mut().take().map_or(Ok(()), Err)
     }
 
-    async fn settle_backends(&self) -> Result<(), RunError> {
-        // Attempts that are on their way arrive before their proxies end.
+    /// Stops the proxies and waits until all attempts at backends have ended.
+    async fn stop_proxies(&self) -> Result<(), RunError> {
+        // Attempts in transit arrive before their proxies end.
         sleep(Duration::from_micros(2 * SLACK)).await;
         for proxy in &self.proxies {
-            if let Some(end) = proxy.ended() {
+            if let Some(end) = proxy.exit_status() {
                 return Err(ProxyError::Ended(proxy.number, end, proxy.log()).into());
             }
         }
         self.front.close();
         self.proxies.iter().for_each(|p| p.signal(Signal::TERM));
         for proxy in &self.proxies {
-            proxy.end().await?;
+            proxy.wait_until_ended().await?;
         }
-        timeout(PATIENCE, self.world.settled()).await.map_err(|_| RunError::Endless("an attempt", PATIENCE))
+        timeout(WAIT_TIMEOUT, self.world.attempts_ended())
+            .await
+            .map_err(|_| RunError::Endless("an attempt", WAIT_TIMEOUT))
     }
 
-    /// The verdict on what has been written.
+    /// The verdict on the records so far.
     pub fn verdict(&self) -> Verdict {
         let plan = &self.world.plan;
         let effects: Vec<Effect> = plan.requests.iter().map(|r| plan.classes[r.class].effect).collect();
-        // A process that is held up may be late by that, and its clients' time with it.
-        let held_up = if plan.system_faults.held_up > 0 { HELD_UP } else { 0 };
+        // A delayed process, and the remaining time that it passes on, may be late by the length of the delay.
+        let held_up = if plan.system_faults.held_up > 0 { MAX_HOLD_UP } else { 0 };
         let terms = Terms {
             grace: GRACE_MS * 1000,
             slack: SLACK + held_up,
@@ -439,10 +445,10 @@
     }
 }
 
-/// Runs a plan from its beginning to the verdict.
+/// Runs a plan from start to verdict.
 ///
 /// # Errors
-/// Whatever makes a verdict impossible; it is never taken for a pass.
+/// Whatever makes a verdict impossible; it never counts as a pass.
 pub fn run(plan: Plan, program: &Program, ledger: Ledger) -> Result<Outcome, RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let tag = format!("{}-{}-{:x}", plan.scenario, std::process::id(), plan.seed);
@@ -452,7 +458,7 @@
         program.faults = Some(FaultLibrary::build(&logs.path, plan.system_faults)?);
     }
     let local = LocalSet::new();
-    let played = local.block_on(&runtime, async {
+    let outcome = local.block_on(&runtime, async {
         let stage = Stage::set(plan, ledger, &program, &logs, true).await?;
         stage.start().await?;
         let begin = stage.world.now();
@@ -469,7 +475,7 @@
             seconds,
         ))
     });
-    match played {
+    match outcome {
         Ok((verdict, untaken, oversized, unended, stalls, seconds)) => {
             let violations = violations(&logs.path)?;
             Ok(Outcome { verdict, untaken, oversized, unended, violations, stalls, seconds, logs })
--- a/crates/sandgap-rig/src/schedule.rs
+++ b/crates/sandgap-rig/src/schedule.rs
@@ -1,5 +1,5 @@
-//! What will happen in a run: requests, and faults at counts of requests. No I/O and no clock: the same scenario
-//! and seed give the same schedule on any machine. Load has a rate in time, faults follow the count of requests.
+//! The plan of a run: requests, and faults at counts of requests. No I/O and no clock: the same scenario and seed give the
+//! same schedule on any machine. The load has a rate in time; faults follow the count of requests.
 
 use fastrand::Rng;
 use serde::Serialize;
@@ -12,129 +12,129 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name, the first part of the path.
+    /// Its name, which is the first part of the path of its requests.
     pub name: &'static str,
-    /// Whether it may run again.
+    /// Whether its requests may run more than once.
     pub effect: Effect,
-    /// Wanted time, ms.
+    /// The response time aimed at, ms.
     pub aim_ms: f64,
-    /// Given up after, ms.
+    /// The longest time that a client waits, ms.
     pub deadline_ms: f64,
     /// Mean work on a standard core, ms.
     pub work_ms: f64,
-    /// What an answer in time is worth.
+    /// The worth of a response in time.
     pub worth: f64,
 }
 
-/// A client's request.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Request {
-    /// When it is asked, from the start of the load.
+    /// When it is sent, µs after the start of the load.
     pub at: Micros,
-    /// Its class.
+    /// The index of its class.
     pub class: usize,
-    /// Its tenant.
+    /// The index of its tenant in [`TENANTS`].
     pub tenant: usize,
-    /// What it concerns.
+    /// The key in its query (`sid`): what it concerns.
     pub sid: u64,
     /// How long its client waits, ms.
     pub timeout_ms: f64,
     /// Its work on a standard core, ms.
     pub work_ms: f64,
-    /// Decides at which proxy the front deals it.
+    /// Random number by which the front selects the proxy.
     pub deal: u32,
-    /// The client leaves after this long.
+    /// The client leaves after this time, ms, if it does.
     pub leaves_ms: Option<f64>,
-    /// Bytes of its body, where it is a long one.
+    /// Bytes of its body, if it is a long one.
     pub upload: Option<usize>,
-    /// The client stops in its middle and stays.
+    /// Whether the client stops within the request and keeps the connection open.
     pub stops: bool,
 }
 
-/// What a backend does.
+/// The behaviour of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Its work.
+    /// Works normally.
     Normal,
-    /// Takes requests and answers none.
+    /// Accepts requests and never responds.
     Hang,
-    /// Takes this many times as long.
+    /// Needs this many times as long.
     Slow(f64),
-    /// Fails this part of its requests at once.
+    /// Fails this part of its requests, from 0 to 1, at once.
     FastErrors(f64),
-    /// Resets connections as they come.
+    /// Resets connections when they are opened.
     ResetBefore,
-    /// Resets a connection when a request has begun to come.
+    /// Resets a connection when the first bytes of a request arrive.
     ResetDuring,
-    /// Runs a request, then resets.
+    /// Runs a request, then resets the connection.
     ResetAfter,
-    /// Breaks off in the middle of its answers.
+    /// Closes the connection within its responses.
     CutAnswer,
-    /// Answers with no HTTP.
+    /// Responds with bytes that are not HTTP.
     Noise,
     /// Refuses connections.
     Refuse,
-    /// Does its work, and closes connections that stand idle for a moment.
+    /// Works normally, but closes connections that are idle for a moment.
     ClosesIdle,
-    /// Says nothing at all: connections never come up, and those that are up are silent.
+    /// Does not react: new connections are never established, and established ones are silent.
     BlackHole,
 }
 
-/// What happens.
+/// A fault or a change during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// A backend begins to behave so.
+    /// A backend changes its behaviour.
     Mode(usize, Mode),
-    /// Discovery hears that a backend drains.
+    /// Discovery reports that a backend drains.
     Drain(usize),
-    /// Discovery hears that it takes work again.
+    /// Discovery reports that a backend accepts requests again.
     Undrain(usize),
-    /// A backend's process ends and discovery hears of it.
+    /// A backend ends and discovery removes it from the list.
     Remove(usize),
-    /// A new backend starts cold and discovery hears of it.
+    /// A new backend starts cold and discovery adds it to the list.
     Join(usize),
-    /// Discovery says nothing to anyone, then goes on.
+    /// Discovery becomes silent to all proxies (true), or ends that (false).
     DiscoverySilent(bool),
-    /// Discovery says nothing to one proxy, then goes on.
+    /// Discovery becomes silent to one proxy (true), or ends that (false).
     DiscoverySplit(usize, bool),
-    /// Discovery repeats an old list.
+    /// Discovery sends an old list.
     DiscoveryStale,
-    /// Discovery writes a broken line.
+    /// Discovery sends a malformed line.
     DiscoveryBroken,
     /// Discovery ends all watches.
     DiscoveryEnds,
-    /// Of the datagrams between proxies this part is lost, late (behind the next ones) and doubled.
+    /// The parts of datagrams between proxies, from 0 to 1, that are lost, late (after the next one) and duplicated.
     Datagrams(f64, f64, f64),
-    /// Its configuration is written anew with other figures, and SIGHUP.
+    /// A proxy's configuration is rewritten with other values; SIGHUP.
     Reload(usize),
     /// The same with discovery at another address.
     MoveDiscovery(usize),
-    /// SIGTERM; the proxy starts anew once it has ended.
+    /// SIGTERM; the proxy is started again after it has ended.
     Term(usize),
     /// SIGKILL.
     Kill(usize),
-    /// Start after a kill.
+    /// The proxy is started after a kill.
     Start(usize),
     /// SIGSTOP.
     Stop(usize),
     /// SIGCONT.
     Continue(usize),
-    /// The front has noticed that a proxy is not there.
+    /// The front takes a proxy that does not respond out of service.
     FrontNotices(usize),
 }
 
 /// A fault and the count of requests at which it happens.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Step {
-    /// Just before this request is asked.
+    /// It happens just before the request of this index is sent.
     pub at: usize,
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// A run, drawn.
+/// The drawn plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The scenario's name.
@@ -145,29 +145,29 @@
     pub classes: Vec<Class>,
     /// Proxies.
     pub proxies: usize,
-    /// Backends that are up from the start; those that join later follow them.
+    /// Number of backends that are up from the start; those that join later have higher numbers.
     pub initial: usize,
-    /// Machines, by backend.
+    /// Machines by backend.
     pub machines: Vec<Build>,
-    /// The rule on cold backends.
+    /// Behaviour of cold backends.
     pub cold: ColdRule,
-    /// Whether proxies have to ask discovery.
+    /// Whether proxies have to poll discovery instead of watching it.
     pub asked: bool,
     /// Requests, in order.
     pub requests: Vec<Request>,
     /// Faults, in order.
     pub steps: Vec<Step>,
-    /// System calls that fail under the proxies.
+    /// System calls of the proxies that fail.
     pub system_faults: SystemFaults,
 }
 
-/// Requests that one backend process belongs with: cells of three.
+/// Number of backends in a cell.
 pub const CELL: usize = 3;
-/// Grace after a drain is told, ms.
+/// Time after a proxy was told of a drain in which it may still send to the backend, ms.
 pub const GRACE_MS: u64 = 500;
-/// Repeats of a keyed request are dropped for this long, ms.
+/// Backends drop repeats of a keyed request within this time, ms.
 pub const WINDOW_MS: u64 = 2500;
-/// Tenants of every scenario.
+/// The tenants of every scenario.
 pub const TENANTS: [&str; 2] = ["noord", "zuid"];
 
 /// The classes of every scenario.
@@ -187,63 +187,79 @@
     ]
 }
 
-/// A scenario: its name, what it is for, and how its faults are drawn.
+/// A scenario: its name, its purpose, and how its faults are drawn.
 pub struct Scenario {
     /// Its name.
     pub name: &'static str,
-    /// What it shows.
+    /// A short description.
     pub about: &'static str,
-    draw: fn(&mut Draw),
+    add_faults: fn(&mut PlanBuilder),
 }
 
 /// All scenarios.
 pub const SCENARIOS: &[Scenario] = &[
-    Scenario { name: "calm", about: "no fault at all: what service costs", draw: |_| {} },
+    Scenario { name: "calm", about: "no faults: the cost of normal operation", add_faults: |_| {} },
     Scenario {
         name: "backend-faults",
-        about: "each fault of a backend, one after another",
-        draw: backend_faults,
+        about: "each fault of a backend, in sequence",
+        add_faults: backend_faults,
     },
     Scenario {
         name: "drains",
-        about: "drains, returns and removals in quick turn, at full load",
-        draw: drains,
+        about: "drains, undrains and removals in quick succession, at full load",
+        add_faults: drains,
     },
     Scenario {
         name: "cold-starts",
         about: "backends replaced by cold ones, two at a time",
-        draw: cold_starts,
+        add_faults: cold_starts,
     },
-    Scenario { name: "discovery", about: "discovery silent, stale, split, broken, ended", draw: discovery },
-    Scenario { name: "discovery-asked", about: "the same where proxies have to ask", draw: discovery_asked },
-    Scenario { name: "datagrams", about: "words between proxies lost, late and doubled", draw: datagrams },
-    Scenario { name: "restarts", about: "proxies told to stop, killed and started anew", draw: restarts },
-    Scenario { name: "pauses", about: "proxies that stand still for a while", draw: pauses },
+    Scenario {
+        name: "discovery",
+        about: "discovery silent, stale, split, broken, and watches ended",
+        add_faults: discovery,
+    },
+    Scenario {
+        name: "discovery-asked",
+        about: "the same with proxies that poll discovery",
+        add_faults: discovery_asked,
+    },
+    Scenario {
+        name: "datagrams",
+        about: "datagrams between proxies lost, late and duplicated",
+        add_faults: datagrams,
+    },
+    Scenario { name: "restarts", about: "proxies stopped, killed and restarted", add_faults: restarts },
+    Scenario { name: "pauses", about: "proxies suspended for a while", add_faults: pauses },
     Scenario {
         name: "wrong-weights",
-        about: "the list is wrong by up to 10 times about what backends hold; slow neighbours",
-        draw: wrong_weights,
+        about: "the list states capacities that are wrong by up to 10 times; some backends are slow",
+        add_faults: wrong_weights,
+    },
+    Scenario {
+        name: "demo",
+        about: "one backend hangs for a while, one drains and is replaced",
+        add_faults: demo,
     },
-    Scenario { name: "demo", about: "one backend hangs for a while, one drains and is replaced", draw: demo },
-    Scenario { name: "mixed", about: "all of these at once", draw: mixed },
+    Scenario { name: "mixed", about: "all of these at once", add_faults: mixed },
     Scenario {
         name: "crossings",
-        about: "two or three troubles at a time of proxies, backends, discovery, clients and system calls",
-        draw: crossings,
+        about: "two or three simultaneous faults of proxies, backends, discovery, clients and system calls",
+        add_faults: crossings,
     },
 ];
 
-/// The scenario of a name.
+/// The scenario with a name.
 pub fn scenario(name: &str) -> Option<&'static Scenario> {
     SCENARIOS.iter().find(|s| s.name == name)
 }
 
-/// What may be set from outside.
+/// The size of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Requests.
     pub requests: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// Proxies.
     pub proxies: usize,
@@ -257,14 +273,14 @@
     }
 }
 
-/// A plan in the making.
-struct Draw {
+/// Builds a plan from random numbers.
+struct PlanBuilder {
     rng: Rng,
     plan: Plan,
 }
 
 impl Scenario {
-    /// Draws the run of a seed.
+    /// Draws the plan for a seed.
     pub fn plan(&self, seed: u64, size: Size) -> Plan {
         let name = self.name.bytes().fold(0u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
         let mut rng = Rng::with_seed(seed ^ name.rotate_left(32));
@@ -285,10 +301,10 @@
             steps: Vec::new(),
             system_faults: SystemFaults::default(),
         };
-        let mut draw = Draw { rng, plan };
-        (self.draw)(&mut draw);
-        draw.plan.steps.sort_by_key(|s| s.at);
-        draw.plan
+        let mut builder = PlanBuilder { rng, plan };
+        (self.add_faults)(&mut builder);
+        builder.plan.steps.sort_by_key(|s| s.at);
+        builder.plan
     }
 }
 
@@ -322,31 +338,33 @@
     (0..size.requests).map(draw).collect()
 }
 
-impl Draw {
-    fn step(&mut self, at: usize, fault: Fault) {
+impl PlanBuilder {
+    fn add_step(&mut self, at: usize, fault: Fault) {
         let at = at.min(self.plan.requests.len().saturating_sub(1));
         self.plan.steps.push(Step { at, fault });
     }
 
-    /// A span of so many parts of a hundred of the run, somewhere within it.
-    fn span(&mut self, percent: (usize, usize)) -> (usize, usize) {
+    /// A span of requests within the run whose length, in percent of the run, is drawn from a range.
+    fn draw_span(&mut self, percent: (usize, usize)) -> (usize, usize) {
         let n = self.plan.requests.len();
         let length = n * self.rng.usize(percent.0..=percent.1) / 100;
         let from = self.rng.usize(n / 20..=(n - length - n / 20).max(n / 20));
         (from, from + length)
     }
 
-    fn backend(&mut self) -> usize {
+    fn draw_backend(&mut self) -> usize {
         self.rng.usize(0..self.plan.initial)
     }
 
-    fn mode(&mut self, backend: usize, mode: Mode, percent: (usize, usize)) {
-        let (from, to) = self.span(percent);
-        self.step(from, Fault::Mode(backend, mode));
-        self.step(to, Fault::Mode(backend, Mode::Normal));
+    /// Sets a mode of a backend for a drawn span.
+    fn set_mode(&mut self, backend: usize, mode: Mode, percent: (usize, usize)) {
+        let (from, to) = self.draw_span(percent);
+        self.add_step(from, Fault::Mode(backend, mode));
+        self.add_step(to, Fault::Mode(backend, Mode::Normal));
     }
 
-    fn modes(&mut self) -> [Mode; 10] {
+    /// All faulty modes, with drawn parameters.
+    fn faulty_modes(&mut self) -> [Mode; 10] {
         [
             Mode::Hang,
             Mode::Slow(2.0 + 4.0 * self.rng.f64()),
@@ -361,69 +379,70 @@
         ]
     }
 
-    /// A backend drains, ends, and is replaced by a cold one.
+    /// A backend drains if `drain`, ends, and is replaced by a cold one.
     fn replace(&mut self, backend: usize, at: usize, drain: bool) {
         let n = self.plan.requests.len();
         if drain {
-            self.step(at, Fault::Drain(backend));
+            self.add_step(at, Fault::Drain(backend));
         }
-        let gone = at + n / 4; // well after the grace, so that a send that ignores the drain is seen
-        self.step(gone, Fault::Remove(backend));
+        let gone = at + n / 4; // well after the grace, so that attempts that ignore the drain are detected
+        self.add_step(gone, Fault::Remove(backend));
         let machine = machine(&mut self.rng);
         self.plan.machines.push(machine);
         let new = self.plan.machines.len() - 1;
         let joins = gone + self.rng.usize(0..=n / 40);
-        self.step(joins, Fault::Join(new));
+        self.add_step(joins, Fault::Join(new));
     }
 
-    /// Backends drain and take work again after at most so many requests.
-    fn flap(&mut self, times: usize, most: usize) {
+    /// Backends drain and accept requests again after at most `most` requests.
+    fn drain_and_undrain(&mut self, times: usize, most: usize) {
         let n = self.plan.requests.len();
         for _ in 0..times {
-            let (backend, at) = (self.backend(), self.rng.usize(n / 20..n * 9 / 10));
-            self.step(at, Fault::Drain(backend));
+            let (backend, at) = (self.draw_backend(), self.rng.usize(n / 20..n * 9 / 10));
+            self.add_step(at, Fault::Drain(backend));
             let back = at + self.rng.usize(1..=most);
-            self.step(back, Fault::Undrain(backend));
+            self.add_step(back, Fault::Undrain(backend));
         }
     }
 
-    /// A proxy is killed and started again; the front notices a while after its end.
+    /// A proxy is killed and started again; the front takes it out of service some time after the kill.
     fn kill(&mut self, proxy: usize, at: usize) {
         let n = self.plan.requests.len();
-        self.step(at, Fault::Kill(proxy));
-        self.step(at + n / 30, Fault::FrontNotices(proxy));
-        self.step(at + n / 20, Fault::Start(proxy));
+        self.add_step(at, Fault::Kill(proxy));
+        self.add_step(at + n / 30, Fault::FrontNotices(proxy));
+        self.add_step(at + n / 20, Fault::Start(proxy));
     }
 
+    /// A proxy is suspended and resumed; the front takes it out of service halfway.
     fn pause(&mut self, proxy: usize, at: usize) {
         let n = self.plan.requests.len();
         let length = self.rng.usize(n / 40..=n / 12);
-        self.step(at, Fault::Stop(proxy));
-        self.step(at + length / 2, Fault::FrontNotices(proxy));
-        self.step(at + length, Fault::Continue(proxy));
+        self.add_step(at, Fault::Stop(proxy));
+        self.add_step(at + length / 2, Fault::FrontNotices(proxy));
+        self.add_step(at + length, Fault::Continue(proxy));
     }
 }
 
-fn backend_faults(d: &mut Draw) {
-    for (i, mode) in d.modes().into_iter().enumerate() {
-        // One at a time, each on a backend of its own.
+fn backend_faults(d: &mut PlanBuilder) {
+    for (i, mode) in d.faulty_modes().into_iter().enumerate() {
+        // One at a time, on different backends.
         let n = d.plan.requests.len();
         let from = n / 20 + i * n * 9 / 100;
         let backend = i % d.plan.initial;
-        d.step(from, Fault::Mode(backend, mode));
-        d.step(from + n * 8 / 100, Fault::Mode(backend, Mode::Normal));
+        d.add_step(from, Fault::Mode(backend, mode));
+        d.add_step(from + n * 8 / 100, Fault::Mode(backend, Mode::Normal));
     }
 }
 
-fn drains(d: &mut Draw) {
+fn drains(d: &mut PlanBuilder) {
     let n = d.plan.requests.len();
-    d.flap(24, n / 3);
+    d.drain_and_undrain(24, n / 3);
     let last = d.plan.initial - 1;
     d.replace(last, n / 3, true);
     d.replace(0, n / 2, false);
 }
 
-fn cold_starts(d: &mut Draw) {
+fn cold_starts(d: &mut PlanBuilder) {
     let n = d.plan.requests.len();
     for i in 0..d.plan.initial * 2 / 3 {
         let drain = d.rng.bool();
@@ -431,49 +450,49 @@
     }
 }
 
-fn discovery(d: &mut Draw) {
-    let (from, to) = d.span((10, 20));
-    d.step(from, Fault::DiscoverySilent(true));
-    d.step(to, Fault::DiscoverySilent(false));
+fn discovery(d: &mut PlanBuilder) {
+    let (from, to) = d.draw_span((10, 20));
+    d.add_step(from, Fault::DiscoverySilent(true));
+    d.add_step(to, Fault::DiscoverySilent(false));
     for _ in 0..3 {
         let proxy = d.rng.usize(0..d.plan.proxies);
-        let (from, to) = d.span((8, 20));
-        d.step(from, Fault::DiscoverySplit(proxy, true));
-        d.step(to, Fault::DiscoverySplit(proxy, false));
+        let (from, to) = d.draw_span((8, 20));
+        d.add_step(from, Fault::DiscoverySplit(proxy, true));
+        d.add_step(to, Fault::DiscoverySplit(proxy, false));
     }
     for fault in [Fault::DiscoveryStale, Fault::DiscoveryBroken, Fault::DiscoveryEnds] {
         for _ in 0..3 {
-            let (at, _) = d.span((1, 5));
-            d.step(at, fault);
+            let (at, _) = d.draw_span((1, 5));
+            d.add_step(at, fault);
         }
     }
     let n = d.plan.requests.len();
-    d.flap(8, n / 8);
+    d.drain_and_undrain(8, n / 8);
 }
 
-fn discovery_asked(d: &mut Draw) {
+fn discovery_asked(d: &mut PlanBuilder) {
     d.plan.asked = true;
     discovery(d);
 }
 
-fn datagrams(d: &mut Draw) {
-    let (from, to) = d.span((50, 80));
+fn datagrams(d: &mut PlanBuilder) {
+    let (from, to) = d.draw_span((50, 80));
     let part = |rng: &mut Rng| 0.1 + 0.4 * rng.f64();
     let fault = Fault::Datagrams(part(&mut d.rng), part(&mut d.rng), part(&mut d.rng));
-    d.step(from, fault);
-    d.step(to, Fault::Datagrams(1.0, 0.0, 0.0)); // then none arrives
+    d.add_step(from, fault);
+    d.add_step(to, Fault::Datagrams(1.0, 0.0, 0.0)); // all are lost from then on
 }
 
-fn restarts(d: &mut Draw) {
+fn restarts(d: &mut PlanBuilder) {
     let n = d.plan.requests.len();
     for proxy in 0..d.plan.proxies {
         let at = n / 15 + proxy * n / 4;
         d.kill(proxy, at);
-        d.step(at + n / 8, Fault::Term(proxy));
+        d.add_step(at + n / 8, Fault::Term(proxy));
     }
 }
 
-fn pauses(d: &mut Draw) {
+fn pauses(d: &mut PlanBuilder) {
     let n = d.plan.requests.len();
     for i in 0..4 {
         let proxy = d.rng.usize(0..d.plan.proxies);
@@ -481,16 +500,16 @@
     }
 }
 
-fn wrong_weights(d: &mut Draw) {
+fn wrong_weights(d: &mut PlanBuilder) {
     for machine in &mut d.plan.machines {
         machine.share = [0.3, 1.0, 10.0, 40.0][d.rng.usize(0..4)];
-        machine.queue = [0, 2, 64][d.rng.usize(0..3)]; // turns away at once, a little later, or hardly ever
+        machine.queue = [0, 2, 64][d.rng.usize(0..3)]; // refuses at once, a little later, or hardly ever
     }
     let n = d.plan.requests.len();
     for _ in 0..3 {
-        let backend = d.backend();
+        let backend = d.draw_backend();
         let slow = Mode::Slow(2.0 + d.rng.f64());
-        d.mode(backend, slow, (15, 30));
+        d.set_mode(backend, slow, (15, 30));
     }
     let last = d.plan.initial - 1;
     d.replace(last, n / 4, true);
@@ -498,21 +517,21 @@
     d.kill(proxy, n / 2);
 }
 
-fn demo(d: &mut Draw) {
+fn demo(d: &mut PlanBuilder) {
     let n = d.plan.requests.len();
-    d.step(n / 4, Fault::Mode(1, Mode::Hang));
-    d.step(n / 2, Fault::Mode(1, Mode::Normal));
+    d.add_step(n / 4, Fault::Mode(1, Mode::Hang));
+    d.add_step(n / 2, Fault::Mode(1, Mode::Normal));
     d.replace(2, n / 2, true);
 }
 
-fn mixed(d: &mut Draw) {
-    for mode in d.modes() {
-        let backend = d.backend();
-        d.mode(backend, mode, (4, 12));
+fn mixed(d: &mut PlanBuilder) {
+    for mode in d.faulty_modes() {
+        let backend = d.draw_backend();
+        d.set_mode(backend, mode, (4, 12));
     }
     let n = d.plan.requests.len();
-    d.flap(6, n / 3);
-    let first = d.backend();
+    d.drain_and_undrain(6, n / 3);
+    let first = d.draw_backend();
     for (i, drain) in [true, false, true].into_iter().enumerate() {
         let at = d.rng.usize(n / 20..n * 5 / 10);
         d.replace((first + 4 * i) % d.plan.initial, at, drain);
@@ -522,20 +541,20 @@
     let first = d.rng.usize(0..d.plan.proxies);
     let proxies = d.plan.proxies;
     d.kill(first, n / 8);
-    d.step(n * 2 / 5, Fault::Term((first + 1) % proxies));
+    d.add_step(n * 2 / 5, Fault::Term((first + 1) % proxies));
     d.pause((first + 2) % proxies, n * 7 / 10);
 }
 
-/// Windows of a run in each of which two or three troubles overlap.
+/// Number of windows of a run; in each of them two or three kinds of faults overlap.
 const WINDOWS: usize = 6;
-/// Long requests of the crossings, in parts of a hundred, and their bytes.
+/// Long requests of the scenario `crossings`, in percent, and the range of their bytes.
 const UPLOADS: (u32, std::ops::Range<usize>) = (6, 66_000..260_000);
-/// Clients that stop in the middle of a request and stay, in parts of a thousand.
-const STOPPERS: u32 = 8;
+/// Clients that stop within a request and keep the connection open, in parts of a thousand.
+const STOPPING_CLIENTS: u32 = 8;
 
-/// Trouble after trouble on drawn proxies and backends, two or three kinds at a time, under system calls that fail, long
-/// requests, and clients that leave or stop.
-fn crossings(d: &mut Draw) {
+/// Successive faults of drawn proxies and backends, two or three kinds at a time, with failing system calls, long requests, and
+/// clients that leave or stop.
+fn crossings(d: &mut PlanBuilder) {
     d.plan.asked = d.rng.bool();
     d.plan.system_faults = SystemFaults {
         short_read: d.rng.u32(0..20),
@@ -551,14 +570,14 @@
     for request in &mut d.plan.requests {
         let long = d.plan.classes[request.class].effect != Effect::Safe && d.rng.u32(0..100) < UPLOADS.0;
         request.upload = long.then(|| d.rng.usize(UPLOADS.1));
-        request.stops = d.rng.u32(0..1000) < STOPPERS;
+        request.stops = d.rng.u32(0..1000) < STOPPING_CLIENTS;
     }
     let n = d.plan.requests.len();
-    let kinds: [fn(&mut Draw, usize, usize); 9] = [
-        stops_at_once,
-        kills_at_once,
-        reloads_in_a_row,
-        discovery_moves,
+    let kinds: [fn(&mut PlanBuilder, usize, usize); 9] = [
+        restarts_together,
+        kills_together,
+        reloads,
+        moves_of_discovery,
         backends_misbehave,
         backends_close_idle,
         drains_within,
@@ -568,91 +587,97 @@
     for window in 0..WINDOWS {
         let from = n / 20 + window * n * 9 / 10 / WINDOWS;
         let to = from + n * 9 / 10 / WINDOWS;
-        let troubles = d.rng.usize(2..=3);
+        let faults = d.rng.usize(2..=3);
         let mut order: Vec<usize> = (0..kinds.len()).collect();
         d.rng.shuffle(&mut order);
-        order.into_iter().take(troubles).for_each(|k| kinds[k](d, from, to));
+        order.into_iter().take(faults).for_each(|k| kinds[k](d, from, to));
     }
 }
 
-/// A fifth of the proxies are told to stop in quick turn.
-fn stops_at_once(d: &mut Draw, from: usize, to: usize) {
+/// A fifth of the proxies get SIGTERM in quick succession.
+fn restarts_together(d: &mut PlanBuilder, from: usize, to: usize) {
     for i in 0..(d.plan.proxies / 5).max(1) {
         let proxy = d.rng.usize(0..d.plan.proxies);
-        d.step(from + i * (to - from) / 40, Fault::Term(proxy));
+        d.add_step(from + i * (to - from) / 40, Fault::Term(proxy));
     }
 }
 
-fn kills_at_once(d: &mut Draw, from: usize, to: usize) {
+/// A sixth of the proxies are killed.
+fn kills_together(d: &mut PlanBuilder, from: usize, to: usize) {
     for _ in 0..(d.plan.proxies / 6).max(1) {
         let (proxy, at) = (d.rng.usize(0..d.plan.proxies), d.rng.usize(from..to));
         d.kill(proxy, at);
     }
 }
 
-fn reloads_in_a_row(d: &mut Draw, from: usize, to: usize) {
+/// As many reloads as there are proxies, each of a drawn proxy.
+fn reloads(d: &mut PlanBuilder, from: usize, to: usize) {
     for _ in 0..d.plan.proxies {
         let (proxy, at) = (d.rng.usize(0..d.plan.proxies), d.rng.usize(from..to));
-        d.step(at, Fault::Reload(proxy));
+        d.add_step(at, Fault::Reload(proxy));
     }
 }
 
-/// Discovery is moved for a third of the proxies, for some of them twice in a row, with a drain right after each move.
-fn discovery_moves(d: &mut Draw, from: usize, to: usize) {
+/// Discovery is moved for a third of the proxies, for some of them twice in succession, with a drain right after each move.
+fn moves_of_discovery(d: &mut PlanBuilder, from: usize, to: usize) {
     for _ in 0..(d.plan.proxies / 3).max(1) {
         let (proxy, at, twice) = (d.rng.usize(0..d.plan.proxies), d.rng.usize(from..to), d.rng.bool());
-        d.step(at, Fault::MoveDiscovery(proxy));
+        d.add_step(at, Fault::MoveDiscovery(proxy));
         if twice {
-            d.step(at + 1, Fault::MoveDiscovery(proxy));
+            d.add_step(at + 1, Fault::MoveDiscovery(proxy));
         }
-        let backend = d.backend();
-        d.step(at + 2, Fault::Drain(backend));
-        d.step(at + (to - from) / 2, Fault::Undrain(backend));
+        let backend = d.draw_backend();
+        d.add_step(at + 2, Fault::Drain(backend));
+        d.add_step(at + (to - from) / 2, Fault::Undrain(backend));
     }
 }
 
-fn backends_misbehave(d: &mut Draw, from: usize, to: usize) {
+/// A sixth of the backends get a faulty mode until the end of the window.
+fn backends_misbehave(d: &mut PlanBuilder, from: usize, to: usize) {
     for _ in 0..(d.plan.initial / 6).max(1) {
-        let (backend, modes) = (d.backend(), d.modes());
+        let (backend, modes) = (d.draw_backend(), d.faulty_modes());
         let mode = modes[d.rng.usize(0..modes.len())];
         let at = d.rng.usize(from..to);
-        d.step(at, Fault::Mode(backend, mode));
-        d.step(to, Fault::Mode(backend, Mode::Normal));
+        d.add_step(at, Fault::Mode(backend, mode));
+        d.add_step(to, Fault::Mode(backend, Mode::Normal));
     }
 }
 
-fn backends_close_idle(d: &mut Draw, from: usize, to: usize) {
+/// A third of the backends close idle connections early during the window.
+fn backends_close_idle(d: &mut PlanBuilder, from: usize, to: usize) {
     for _ in 0..d.plan.initial / 3 {
-        let backend = d.backend();
-        d.step(from, Fault::Mode(backend, Mode::ClosesIdle));
-        d.step(to, Fault::Mode(backend, Mode::Normal));
+        let backend = d.draw_backend();
+        d.add_step(from, Fault::Mode(backend, Mode::ClosesIdle));
+        d.add_step(to, Fault::Mode(backend, Mode::Normal));
     }
 }
 
-fn drains_within(d: &mut Draw, from: usize, to: usize) {
+/// A sixth of the backends drain for the length of a window.
+fn drains_within(d: &mut PlanBuilder, from: usize, to: usize) {
     for _ in 0..(d.plan.initial / 6).max(1) {
-        let (backend, at) = (d.backend(), d.rng.usize(from..to));
-        d.step(at, Fault::Drain(backend));
-        d.step(at + (to - from), Fault::Undrain(backend));
+        let (backend, at) = (d.draw_backend(), d.rng.usize(from..to));
+        d.add_step(at, Fault::Drain(backend));
+        d.add_step(at + (to - from), Fault::Undrain(backend));
     }
 }
 
-/// Discovery falls silent or ends its watches; something changes meanwhile and right after.
-fn outage_within(d: &mut Draw, from: usize, to: usize) {
+/// Discovery falls silent, then ends its watches; backends drain during the silence and right after it.
+fn outage_within(d: &mut PlanBuilder, from: usize, to: usize) {
     let middle = (from + to) / 2;
-    d.step(from, Fault::DiscoverySilent(true));
-    let (first, second) = (d.backend(), d.backend());
-    d.step(middle - 1, Fault::Drain(first));
-    d.step(middle, Fault::DiscoverySilent(false));
-    d.step(middle + 1, Fault::Drain(second));
-    d.step(middle + 2, Fault::DiscoveryEnds);
-    d.step(to, Fault::Undrain(first));
-    d.step(to, Fault::Undrain(second));
-}
-
-fn replacements_within(d: &mut Draw, from: usize, to: usize) {
+    d.add_step(from, Fault::DiscoverySilent(true));
+    let (first, second) = (d.draw_backend(), d.draw_backend());
+    d.add_step(middle - 1, Fault::Drain(first));
+    d.add_step(middle, Fault::DiscoverySilent(false));
+    d.add_step(middle + 1, Fault::Drain(second));
+    d.add_step(middle + 2, Fault::DiscoveryEnds);
+    d.add_step(to, Fault::Undrain(first));
+    d.add_step(to, Fault::Undrain(second));
+}
+
+/// Two backends are replaced by cold ones.
+fn replacements_within(d: &mut PlanBuilder, from: usize, to: usize) {
     for _ in 0..2 {
-        let (backend, drain) = (d.backend(), d.rng.bool());
+        let (backend, drain) = (d.draw_backend(), d.rng.bool());
         let at = d.rng.usize(from..to);
         d.replace(backend, at, drain);
     }
@@ -663,7 +688,7 @@
     use super::*;
 
     #[test]
-    fn the_same_seed_gives_the_same_schedule_and_another_one_another() {
+    fn equal_seeds_give_equal_schedules_and_different_seeds_different_ones() {
         for s in SCENARIOS {
             let (a, b, c) =
                 (s.plan(7, Size::default()), s.plan(7, Size::default()), s.plan(8, Size::default()));
@@ -673,7 +698,7 @@
     }
 
     #[test]
-    fn mixed_holds_every_fault_and_all_lie_within_the_run() {
+    fn mixed_contains_every_fault_and_all_lie_within_the_run() {
         for seed in 0..50 {
             let plan = scenario("mixed").expect("named").plan(seed, Size::default());
             let text = format!("{:?}", plan.steps);
--- a/crates/sandgap-rig/src/world.rs
+++ b/crates/sandgap-rig/src/world.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins of a run share.
+//! State shared by all simulated peers of a run.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,10 +16,10 @@
 pub struct World {
     /// The clock.
     pub clock: Clock,
-    /// What will happen.
+    /// The plan of the run.
     pub plan: Plan,
-    /// Sets this run's request ids apart from others'.
-    pub tag: String,
+    /// Prefix that distinguishes the request ids of this run from those of others.
+    pub id_prefix: String,
     ledger: RefCell<Ledger>,
     written: RefCell<BTreeMap<Writer, u64>>,
     attempts: Cell<u32>,
@@ -30,11 +30,11 @@
 impl World {
     /// A run that has not begun.
     pub fn new(plan: Plan, ledger: Ledger) -> Rc<Self> {
-        let tag = format!("{:x}-{:x}", std::process::id(), plan.seed);
+        let id_prefix = format!("{:x}-{:x}", std::process::id(), plan.seed);
         Rc::new(World {
             clock: Clock::default(),
             plan,
-            tag,
+            id_prefix,
             ledger: RefCell::new(ledger),
             written: RefCell::default(),
             attempts: Cell::new(0),
@@ -43,13 +43,13 @@
         })
     }
 
-    /// Now.
+    /// The current time of the run.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Writes a line.
-    pub fn note(&self, writer: Writer, record: Record) {
+    /// Adds a record to the ledger and counts it for its writer.
+    pub fn record(&self, writer: Writer, record: Record) {
         *self.written.borrow_mut().entry(writer).or_default() += 1;
         self.ledger.borrow_mut().put(writer, record);
     }
@@ -59,25 +59,25 @@
         self.ledger.borrow()
     }
 
-    /// What each writer wrote.
+    /// The number of records that each writer wrote.
     pub fn written(&self) -> BTreeMap<Writer, u64> {
         self.written.borrow().clone()
     }
 
-    /// The number of a new attempt, which is open until [`World::over`].
-    pub fn attempt(&self) -> u32 {
+    /// Begins an attempt and returns its number; it is open until [`World::end_attempt`].
+    pub fn begin_attempt(&self) -> u32 {
         self.open.set(self.open.get() + 1);
         self.attempts.replace(self.attempts.get() + 1)
     }
 
-    /// An attempt has ended.
-    pub fn over(&self) {
+    /// Ends an attempt.
+    pub fn end_attempt(&self) {
         self.open.set(self.open.get() - 1);
         self.idle.notify_waiters();
     }
 
     /// Waits until no attempt is open at any backend.
-    pub async fn settled(&self) {
+    pub async fn attempts_ended(&self) {
         loop {
             let idle = self.idle.notified();
             if self.open.get() == 0 {
@@ -87,19 +87,20 @@
         }
     }
 
-    /// The id of a request as clients send it.
-    pub fn id(&self, request: usize) -> String {
-        format!("{}-{request}", self.tag)
+    /// The id of a request, as clients send it.
+    pub fn request_id(&self, request: usize) -> String {
+        format!("{}-{request}", self.id_prefix)
     }
 
-    /// The request of an id.
-    pub fn request(&self, id: &str) -> Option<u32> {
-        let number = id.strip_prefix(&self.tag)?.strip_prefix('-')?.parse().ok()?;
+    /// The request with an id; `None` if the id is not of this run.
+    pub fn request_number(&self, id: &str) -> Option<u32> {
+        let number = id.strip_prefix(&self.id_prefix)?.strip_prefix('-')?.parse().ok()?;
         ((number as usize) < self.plan.requests.len()).then_some(number)
     }
 }
 
-/// Loopback addresses that no other run on this machine draws: the process decides the middle, the place the end.
+/// Loopback addresses that no other run on this machine draws: the third byte and part of the second depend on the process id,
+/// the last byte on the order of the draws.
 pub struct Addresses {
     base: u32,
     next: Cell<u32>,
@@ -111,7 +112,7 @@
     fn default() -> Self {
         // 127.64.0.0 to 127.127.255.255 holds 2^14 blocks of 256.
         let block = std::process::id().wrapping_mul(0x9E37_79B1) >> 18;
-        // Runs side by side in one process begin at different IPs.
+        // Parallel runs in one process begin at different IP addresses.
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let next = run.wrapping_mul(37) % 250 + 1;
         Addresses { base: (127 << 24) | (64 << 16) | (block << 8), next: Cell::new(next) }
@@ -119,15 +120,15 @@
 }
 
 impl Addresses {
-    /// The address of the network between proxies; [`Addresses::draw`] never gives it.
+    /// The address of the network between proxies; [`Addresses::draw`] never returns it.
     pub fn network(&self) -> IpAddr {
         IpAddr::V4(Ipv4Addr::from(self.base + 253))
     }
 
-    /// An address with a port that was free a moment ago. Nobody else binds this IP.
+    /// An address with a port that was free a moment ago. No other run binds this IP address.
     ///
     /// # Errors
-    /// The system's, where no port is to be had.
+    /// The system's, if no port is available.
     pub fn draw(&self) -> std::io::Result<SocketAddr> {
         let n = self.next.replace(self.next.get() % 250 + 1);
         let ip = IpAddr::V4(Ipv4Addr::from(self.base + n));
