--- a/crates/sandgap-rules/src/checker.rs
+++ b/crates/sandgap-rules/src/checker.rs
@@ -33,7 +33,7 @@
 pub struct Submission {
     /// Which proxy, and which process of it.
     pub proxy: u16,
-    /// When it was sent.
+    /// When the client began to send it.
     pub at: Micros,
     /// When the client gives up.
     pub deadline: Micros,
--- a/crates/sandgap-rules/src/outs.rs
+++ b/crates/sandgap-rules/src/outs.rs
@@ -44,7 +44,7 @@
     bound: usize,
     /// Backends that are out, and since when.
     empty: BTreeMap<usize, Micros>,
-    /// When the current halt was acknowledged, if there is one.
+    /// When the current halt was acknowledged, if one is surely in force.
     halted: Option<Micros>,
     breaches: Vec<OutBreach>,
     /// How often a holder was told that its backend is empty.
--- a/crates/sandgap-rules/src/record.rs
+++ b/crates/sandgap-rules/src/record.rs
@@ -58,7 +58,7 @@
         request: u32,
         /// Which proxy, and which process of it.
         proxy: u16,
-        /// When the last byte was written.
+        /// When the client began to write it.
         at: Micros,
         /// When the client gives up.
         deadline: Micros,
