--- a/crates/sandgap-lab/src/fleet.rs
+++ b/crates/sandgap-lab/src/fleet.rs
@@ -1,78 +1,79 @@
-//! A whole fleet in virtual time: clients, a front, proxies with the daemon's own core and the real module,
-//! servers, discovery, the network, faults. One thread, one calendar, one stream of chance a component.
+//! Simulates a whole fleet in virtual time: clients, a front, proxies that run the daemon's own driver core and the
+//! real decision library, servers, discovery, the network and faults. A run uses one thread, one event calendar and
+//! one random stream per component.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 
 use sandgap_driver::Endpoint;
-use sandgap_rules::Stream as Rules;
-use wharfhitch::{BackendId, Millis, Outcome as Ends};
+use sandgap_rules::Stream as RuleChecker;
+use wharfhitch::{BackendId, Millis, Outcome as AttemptOutcome};
 
 use crate::calendar::{Calendar, MS, Nanos, SECOND, nanos};
 use crate::file::Experiment;
 use crate::limits::{IN_FLIGHT, SERVERS};
 use crate::measure::{Measures, Outcome};
 use crate::model::arrivals::{Load, Recorded, Source};
-use crate::model::faults::{Happening, Mode, Step, mixed};
+use crate::model::faults::{Mode, Step, StepAction, mixed};
 use crate::model::server::Server;
 use crate::proxy::Proxy;
 use crate::rivals::{PolicyKind, Truth};
 use crate::streams::{Stream, stream};
 use crate::window::Window;
 
-/// Unix time at which virtual time is zero, ms: any, so long as births lie after 0.
-const UNIX_ZERO: Millis = 1e12;
-/// Looks for requests whose client has waited in vain are this far apart.
-const SWEEP: Nanos = 50 * MS;
-/// A client notes that nothing came this long after its deadline: late answers are seen as late until then.
-const GIVES_UP: Nanos = 500 * MS;
-/// Grace after a drain, as the platform states it, µs.
-pub const GRACE_US: u64 = 500_000;
-/// A proxy that is told to stop is out of the front's sight after this long.
-const STOP_NOTICED: Nanos = 500 * MS;
+/// Unix time at which virtual time is zero, ms. Any value works as long as server start times are above 0.
+const UNIX_EPOCH_OFFSET_MS: Millis = 1e12;
+/// Interval between two searches for requests whose client has given up.
+const SWEEP_INTERVAL: Nanos = 50 * MS;
+/// How long past its deadline a client still listens, so that a late answer is recorded as late and not as none.
+const LATE_ANSWER_WAIT: Nanos = 500 * MS;
+/// Time after a drain notice in which attempts may still be sent, as the platform states it, µs.
+pub const DRAIN_GRACE_US: u64 = 500_000;
+/// Delay between a proxy's stop request and the moment it stops accepting; the front removes it within this span.
+const STOP_DELAY: Nanos = 500 * MS;
 
-/// A run that can't go on.
+/// Why a run was aborted.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum RunError {
-    /// The load is far beyond what the fleet can do.
+    /// The load far exceeds the fleet's capacity; the value is the virtual second at which it was seen.
     #[error(
         "more than {IN_FLIGHT} requests in flight at {0} s: the load is far beyond the fleet; lower load.rate or clients.tries"
     )]
     Overrun(u64),
-    /// More servers than records can number.
+    /// The run needs more servers (or proxy processes) than the records can number.
     #[error("more than {SERVERS} servers over the run; shorten it or lower the part that faults replace")]
     Servers,
-    /// A recorded load names what the experiment does not have.
+    /// A recorded load names a class or tenant that the experiment does not define.
     #[error("the recorded load names {0} '{1}', which the experiment does not have")]
     Unknown(&'static str, String),
-    /// A recorded load can't be read.
+    /// A recorded load could not be read.
     #[error("{0}")]
     Recorded(String),
 }
 
-/// A run, drawn: the same plan gives the same run.
+/// Everything that determines a run: the same plan gives the same run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The experiment at one point.
+    /// The experiment at one point of its sweeps.
     pub experiment: Experiment,
-    /// Who decides.
+    /// The policy that decides.
     pub policy: PolicyKind,
-    /// The seed.
+    /// The seed of all random streams.
     pub seed: u64,
-    /// What happens.
+    /// Fault actions, by time.
     pub steps: Vec<Step>,
-    /// A recorded load, where that is what comes.
+    /// The lines of a recorded load; empty for other kinds of load.
     pub recorded: Vec<Recorded>,
-    /// Tasks that are asked, as ranges of their numbers; `None` for all.
+    /// Tasks that are submitted, as half-open ranges of their numbers; `None` for all.
     pub keep: Option<Vec<(u32, u32)>>,
 }
 
 impl Plan {
-    /// Draws what happens.
+    /// Draws the fault schedule and reads the recorded load, if any, whose path is relative to `folder`.
     ///
     /// # Errors
-    /// A recorded load that can't be read; `folder` is where its name starts from.
+    /// If the recorded load can't be read.
     pub fn draw(
         experiment: &Experiment, policy: PolicyKind, seed: u64, folder: &std::path::Path,
     ) -> Result<Self, RunError> {
@@ -96,77 +97,81 @@
     }
 }
 
-/// What a run tells on the way, for those who ask.
+/// An optional trace of a run.
 #[derive(Default)]
 pub struct Trace {
-    /// Whose story; `None` for everybody's.
+    /// The request to trace; `None` for all of them.
     pub request: Option<u32>,
-    /// Lines: when, which request (`u32::MAX` for none), what.
+    /// Trace lines: time, request (`u32::MAX` for none) and text.
     pub lines: Vec<(Nanos, u32, String)>,
 }
 
+/// An event of the calendar; the numbers are those of requests, attempts, servers, proxies and processes.
 enum Event {
-    Arrive,
-    User(u32),
-    Again(u32),
+    Arrival,
+    UserReady(u32),
+    Retry(u32),
     FirstByte(u32),
-    Deliver(u32),
-    Done(u32, u32),
-    Warm(u32),
-    Reply(u32),
-    TimedOut(u32),
-    Due(u16, u16),
-    Ask(u32),
-    Leave(u32),
-    Gone(u16, u16, u32),
+    Delivery(u32),
+    Completion(u32, u32),
+    WarmStep(u32),
+    AttemptEnd(u32),
+    AttemptTimeout(u32),
+    Timer(u16, u16),
+    ReadRequest(u32),
+    ClientLeaves(u32),
+    ClientGone(u16, u16, u32),
     LateAnswer(u32, u32),
     Resend(u32),
-    Step(u32),
-    News(u16, u16, u32),
-    Whole(u16, u16, u32),
+    PlanStep(u32),
+    ListChange(u16, u16, u32),
+    FullList(u16, u16, u32),
     Datagram(u16, u32),
-    Stop(u16, u16),
-    Start(u16),
-    FrontSees(u16, bool),
+    ProxyStop(u16, u16),
+    ProxyStart(u16),
+    FrontNotices(u16, bool),
     Sweep,
 }
 
-/// A client's request.
-struct Asked {
+/// A client's request that is still unanswered.
+struct PendingRequest {
     task: Task,
     proxy: u16,
     process: u16,
     deadline: Nanos,
-    /// Whether its proxy has read it.
+    /// Whether its proxy has read the request.
     read: bool,
 }
 
-/// What a client wants, over all its tries.
+/// A unit of work that a client wants done, over all its tries.
 #[derive(Clone, Copy)]
 struct Task {
     number: u32,
     class: u16,
     tenant: u16,
-    first: Nanos,
+    first_try: Nanos,
     tries: u32,
     user: u32,
     work: f64,
     patience: Nanos,
-    leaves: Option<Nanos>,
+    /// The client disconnects this long after each try, if it does.
+    leaves_after: Option<Nanos>,
 }
 
-const NOBODY: u32 = u32::MAX;
+/// The `user` of a task from an open load.
+const NO_USER: u32 = u32::MAX;
 
-/// What has to hold at an attempt's first byte.
-struct Gate {
+/// What must hold when an attempt's first byte is about to be sent.
+struct SendCondition {
     wanted: Rc<Cell<bool>>,
     endpoint: Rc<Endpoint>,
-    before: Option<Duration>,
+    write_before: Option<Duration>,
 }
 
-struct Out {
+/// An attempt at a server.
+struct AttemptState {
     request: u32,
-    /// Its number at the core; `RAW` for what a defect sent.
+    /// Its number at the core; `NOT_OF_CORE` for an attempt sent by a defect.
     number: u32,
     proxy: u16,
     process: u16,
@@ -174,37 +179,39 @@
     sent: Nanos,
     until: Nanos,
     work: f64,
-    outcome: Ends,
-    gate: Option<Gate>,
-    /// Whether the proxy has its end.
-    told: bool,
-    /// Whether its server is done with it.
-    over: bool,
+    outcome: AttemptOutcome,
+    condition: Option<SendCondition>,
+    /// Whether the proxy was told how it ended.
+    reported: bool,
+    /// Whether the server is done with it.
+    finished: bool,
 }
 
-const RAW: u32 = u32::MAX;
+/// The number of an attempt that the core does not know of.
+const NOT_OF_CORE: u32 = u32::MAX;
 
-impl Out {
-    /// An attempt of a proxy's process at a server, sent at a time and given up at another.
+impl AttemptState {
+    /// An attempt of a proxy's process at a server, with the times at which it is sent and abandoned.
     fn new(request: u32, from: (u16, u16), server: u32, (sent, until): (Nanos, Nanos), work: f64) -> Self {
-        Out {
+        AttemptState {
             request,
-            number: RAW,
+            number: NOT_OF_CORE,
             proxy: from.0,
             process: from.1,
             server,
             sent,
             until,
             work,
-            outcome: Ends::Served,
-            gate: None,
-            told: false,
-            over: false,
+            outcome: AttemptOutcome::Served,
+            condition: None,
+            reported: false,
+            finished: false,
         }
     }
 }
 
-struct Place {
+/// A server and what the simulator knows about it.
+struct ServerState {
     server: Server,
     name: String,
     id: BackendId,
@@ -212,66 +219,73 @@
     zone: Option<usize>,
     cell: u16,
     mode: Mode,
-    lives: bool,
+    running: bool,
     health: &'static str,
     born_ms: f64,
     rating: f64,
-    on_way: u32,
+    /// Attempts that were sent and have not arrived yet.
+    in_transit: u32,
+    /// Whether it was announced as idle in [`Truth`] since the last attempt was sent to it.
     idle: bool,
 }
 
-/// Everything.
+/// The state of a run.
 struct Fleet<'a> {
     plan: &'a Plan,
-    e: &'a Experiment,
-    cal: Calendar<Event>,
-    rules: Rules,
-    places: Vec<Place>,
+    experiment: &'a Experiment,
+    calendar: Calendar<Event>,
+    rules: RuleChecker,
+    servers: Vec<ServerState>,
     proxies: Vec<Proxy>,
-    requests: Window<Asked>,
-    attempts: Window<Out>,
-    again: Window<Task>,
+    requests: Window<PendingRequest>,
+    attempts: Window<AttemptState>,
+    /// Tasks that wait for their next try.
+    retries: Window<Task>,
     datagrams: Window<(u16, Vec<u8>)>,
-    /// Changes of the list: which server, and its health from then on.
+    /// The change log of the server list: the server and its new health.
     changes: Vec<(u32, &'static str)>,
-    silent: bool,
+    discovery_silent: bool,
+    /// Part of the datagrams that is lost at present.
     loss: f64,
-    cut: Vec<(u32, u32)>,
+    /// Pairs of a proxy and a server between which everything is lost.
+    partitions: Vec<(u32, u32)>,
     processes: u16,
     tasks: u32,
     cells: u16,
+    /// Violations that the driver core reported.
     odd: Vec<&'static str>,
     source: Source,
-    net: Stream,
-    front: Stream,
-    list: Stream,
-    whims: Stream,
+    network_rng: Stream,
+    front_rng: Stream,
+    discovery_rng: Stream,
+    choices_rng: Stream,
     truth: Rc<RefCell<Truth>>,
     wants_truth: bool,
     timing: Option<Rc<Cell<(f64, u64)>>>,
     measures: Measures,
     trace: Option<&'a mut Trace>,
-    done: Vec<u32>,
-    class_parts: Vec<f64>,
-    tenant_parts: Vec<f64>,
-    longest: Nanos,
+    /// A buffer for completed attempts, kept for its capacity.
+    completed_buffer: Vec<u32>,
+    class_distribution: Vec<f64>,
+    tenant_distribution: Vec<f64>,
+    longest_deadline: Nanos,
 }
 
-/// Plays a plan to its end. `timed` adds what decisions cost in wall time, which is no part of a result.
+/// Runs a plan to its end. `timed` also measures the wall time of decisions, which is no part of a result.
 ///
 /// # Errors
-/// What a run can't go on with.
+/// If the run has to be aborted; see [`RunError`].
 pub fn run(plan: &Plan, timed: bool, trace: Option<&mut Trace>) -> Result<Outcome, RunError> {
     let mut fleet = Fleet::new(plan, timed, trace)?;
-    fleet.play()?;
+    fleet.run_events()?;
     let decided = fleet.timing.as_ref().map(|t| t.get());
     let Fleet { rules, measures, odd, .. } = fleet;
     let verdict = rules.verdict();
     Ok(Outcome { measures, verdict, odd, decided })
 }
 
-/// Parts of a whole as a running sum.
-fn parts(shares: impl Iterator<Item = f64>) -> Vec<f64> {
+/// The cumulative distribution of shares, normalised to 1.
+fn cumulative_shares(shares: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     let mut all: Vec<f64> = shares
         .map(|s| {
@@ -283,20 +297,21 @@
     all
 }
 
-fn pick(parts: &[f64], x: f64) -> usize {
-    parts.partition_point(|p| *p <= x).min(parts.len().saturating_sub(1))
+/// The index that a uniform draw `x` from [0, 1) selects in a cumulative distribution.
+fn pick_index(distribution: &[f64], x: f64) -> usize {
+    distribution.partition_point(|p| *p <= x).min(distribution.len().saturating_sub(1))
 }
 
-fn us(at: Nanos) -> u64 {
+fn micros(at: Nanos) -> u64 {
     at / 1000
 }
 
-fn time(at: Nanos) -> Duration {
+fn duration(at: Nanos) -> Duration {
     Duration::from_nanos(at)
 }
 
+mod attempts;
 mod client;
-mod lists;
-mod play;
-mod sends;
+mod discovery;
+mod events;
 mod setup;
--- a/crates/sandgap-lab/src/model/faults.rs
+++ b/crates/sandgap-lab/src/model/faults.rs
@@ -34,7 +34,7 @@
 /// One thing that happens.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Happening {
+pub enum StepAction {
     /// A server behaves so from now on.
     Mode(u32, Mode),
     /// A server has this part of its speed from now on.
@@ -168,23 +168,23 @@
     /// Draws what happens.
     pub fn draw(&self, servers: u32, proxies: u32, rng: &mut Stream, out: &mut Vec<Step>) {
         let (from, span) = (nanos(self.at_s * 1000.0), nanos(self.for_s * 1000.0));
-        let mut put = |at: Nanos, what: Happening| out.push(Step { at, what });
-        let whole = |put: &mut dyn FnMut(Nanos, Happening), on: Happening, off: Happening| {
+        let mut put = |at: Nanos, what: StepAction| out.push(Step { at, what });
+        let whole = |put: &mut dyn FnMut(Nanos, StepAction), on: StepAction, off: StepAction| {
             put(from, on);
             put(from + span, off);
         };
         match self.kind {
-            FaultKind::Silent => return whole(&mut put, Happening::Silent(true), Happening::Silent(false)),
-            FaultKind::Stale => return put(from, Happening::Stale(1 + (self.level * 10.0) as u32)),
-            FaultKind::Loss => return whole(&mut put, Happening::Loss(self.level), Happening::Loss(-1.0)),
+            FaultKind::Silent => return whole(&mut put, StepAction::Silent(true), StepAction::Silent(false)),
+            FaultKind::Stale => return put(from, StepAction::Stale(1 + (self.level * 10.0) as u32)),
+            FaultKind::Loss => return whole(&mut put, StepAction::Loss(self.level), StepAction::Loss(-1.0)),
             _ => {}
         }
         let step = nanos(self.step_s * 1000.0);
         for (i, t) in self.draw_targets(servers, proxies, rng).into_iter().enumerate() {
             let (at, to) = (from + i as Nanos * step, from + i as Nanos * step + span);
             let mut mode = |m| {
-                put(at, Happening::Mode(t, m));
-                put(to, Happening::Mode(t, Mode::Normal));
+                put(at, StepAction::Mode(t, m));
+                put(to, StepAction::Mode(t, Mode::Normal));
             };
             match self.kind {
                 FaultKind::Hang => mode(Mode::Hang),
@@ -194,43 +194,43 @@
                 FaultKind::Refuse => mode(Mode::Refuse),
                 FaultKind::BlackHole => mode(Mode::BlackHole),
                 FaultKind::Slow => {
-                    put(at, Happening::Vigour(t, self.level));
-                    put(to, Happening::Vigour(t, 1.0));
+                    put(at, StepAction::Vigour(t, self.level));
+                    put(to, StepAction::Vigour(t, 1.0));
                 }
                 FaultKind::Neighbour => {
                     let mut on = at + nanos(500.0 * rng.random::<f64>());
                     while on < to {
                         let off = (on + nanos(200.0 + 1800.0 * rng.random::<f64>())).min(to);
-                        put(on, Happening::Vigour(t, self.level));
-                        put(off, Happening::Vigour(t, 1.0));
+                        put(on, StepAction::Vigour(t, self.level));
+                        put(off, StepAction::Vigour(t, 1.0));
                         on = off + nanos(200.0 + 1800.0 * rng.random::<f64>());
                     }
                 }
                 FaultKind::Drain => {
-                    put(at, Happening::Drain(t));
-                    put(to, Happening::Undrain(t));
+                    put(at, StepAction::Drain(t));
+                    put(to, StepAction::Undrain(t));
                 }
                 FaultKind::Deploy => {
-                    put(at, Happening::Drain(t));
-                    put(at + 3 * SECOND, Happening::Remove(t));
-                    put(at + 3 * SECOND + nanos(1000.0 * rng.random::<f64>()), Happening::Join(t));
+                    put(at, StepAction::Drain(t));
+                    put(at + 3 * SECOND, StepAction::Remove(t));
+                    put(at + 3 * SECOND + nanos(1000.0 * rng.random::<f64>()), StepAction::Join(t));
                 }
                 FaultKind::Crash => {
-                    put(at, Happening::Remove(t));
-                    put(to, Happening::Join(t));
+                    put(at, StepAction::Remove(t));
+                    put(to, StepAction::Join(t));
                 }
                 FaultKind::Partition => {
                     let p = rng.random_range(0..proxies);
-                    put(at, Happening::Partition(p, t, true));
-                    put(to, Happening::Partition(p, t, false));
+                    put(at, StepAction::Partition(p, t, true));
+                    put(to, StepAction::Partition(p, t, false));
                 }
                 FaultKind::Split => {
-                    put(at, Happening::Split(t, true));
-                    put(to, Happening::Split(t, false));
+                    put(at, StepAction::Split(t, true));
+                    put(to, StepAction::Split(t, false));
                 }
-                FaultKind::Kill => put(at, Happening::Kill(t, span)),
-                FaultKind::Restart => put(at, Happening::Restart(t)),
-                FaultKind::Pause => put(at, Happening::Pause(t, span)),
+                FaultKind::Kill => put(at, StepAction::Kill(t, span)),
+                FaultKind::Restart => put(at, StepAction::Restart(t)),
+                FaultKind::Pause => put(at, StepAction::Pause(t, span)),
                 FaultKind::Silent | FaultKind::Stale | FaultKind::Loss => {}
             }
         }
@@ -243,7 +243,7 @@
     /// When.
     pub at: Nanos,
     /// What.
-    pub what: Happening,
+    pub what: StepAction,
 }
 
 /// Every kind of fault, several of each, drawn over a span: the schedule of `hunt`.
@@ -289,13 +289,13 @@
             let draw = || mixed(12, 3, 6 * SECOND, &mut stream(seed, "faults", 0));
             let steps = draw();
             assert_eq!(steps, draw());
-            let count = |f: fn(&Happening) -> bool| steps.iter().filter(|s| f(&s.what)).count();
-            let on = count(|h| matches!(h, Happening::Split(_, true)));
-            assert_eq!(on, count(|h| matches!(h, Happening::Split(_, false))));
-            assert!(on > 0 && count(|h| matches!(h, Happening::Kill(..))) > 0);
+            let count = |f: fn(&StepAction) -> bool| steps.iter().filter(|s| f(&s.what)).count();
+            let on = count(|h| matches!(h, StepAction::Split(_, true)));
+            assert_eq!(on, count(|h| matches!(h, StepAction::Split(_, false))));
+            assert!(on > 0 && count(|h| matches!(h, StepAction::Kill(..))) > 0);
             assert_eq!(
-                count(|h| matches!(h, Happening::Remove(_))),
-                count(|h| matches!(h, Happening::Join(_)))
+                count(|h| matches!(h, StepAction::Remove(_))),
+                count(|h| matches!(h, StepAction::Join(_)))
             );
         }
     }
--- a/crates/sandgap-lab/src/proxy.rs
+++ b/crates/sandgap-lab/src/proxy.rs
@@ -1,5 +1,5 @@
-//! The virtual driver's outside: where the daemon has sockets, this notes what is to be done, and the fleet does
-//! it in virtual time. The core above it is the daemon's own.
+//! The effects of a simulated driver: where the daemon uses sockets, this queues commands, which the fleet carries out
+//! in virtual time. The core above it is the daemon's own.
 
 use sandgap_driver::permit::Violation;
 use sandgap_driver::{Answer, Attempt, Cause, Core, Effects, Endpoint};
@@ -9,30 +9,30 @@
 use crate::calendar::Nanos;
 use crate::rivals::Timed;
 
-/// Something that the core wants done.
+/// A command of the core.
 pub enum Command {
-    /// Begin an attempt.
+    /// Start an attempt.
     Attempt(Attempt),
-    /// Give an answer; that of a server bears the number of the attempt that made it.
+    /// Answer a request; a server's answer carries the number of the attempt that produced it.
     Answer(RequestId, Answer<u32>),
-    /// Tell the other proxies.
-    Tell(Vec<u8>),
-    /// Have changes of the list told from now on.
+    /// Send a message to all other proxies.
+    Broadcast(Vec<u8>),
+    /// Subscribe to changes of the server list.
     Subscribe,
-    /// Have the list told once.
-    Fetch,
-    /// The module wanted what may not be.
+    /// Fetch the full server list once.
+    FetchList,
+    /// The policy asked for something that is not allowed.
     Violation(Violation),
 }
 
-/// Notes what is to be done.
+/// Queues the commands of a core.
 #[derive(Default)]
-pub struct Notes {
-    /// In order.
+pub struct CommandQueue {
+    /// The queued commands, in order.
     pub commands: Vec<Command>,
 }
 
-impl Effects for Notes {
+impl Effects for CommandQueue {
     type Held = ();
     type Reply = u32;
 
@@ -47,7 +47,7 @@
     fn retire(&mut self, _: &Endpoint) {}
 
     fn broadcast(&mut self, bytes: Vec<u8>) {
-        self.commands.push(Command::Tell(bytes));
+        self.commands.push(Command::Broadcast(bytes));
     }
 
     fn subscribe(&mut self) {
@@ -55,7 +55,7 @@
     }
 
     fn fetch_list(&mut self) {
-        self.commands.push(Command::Fetch);
+        self.commands.push(Command::FetchList);
     }
 
     fn listed(&mut self, _: Scope, _: bool) {}
@@ -65,40 +65,40 @@
     }
 }
 
-/// A proxy: one process after another at one place.
+/// A proxy: the present process and what the simulator knows about it.
 pub struct Proxy {
-    /// The daemon's core with whoever decides.
-    pub core: Core<Timed, Notes>,
-    /// The number of its process, never used twice.
+    /// The daemon's core with the policy that decides.
+    pub core: Core<Timed, CommandQueue>,
+    /// The number of its process, never reused within a run.
     pub process: u16,
-    /// Whether it takes requests.
-    pub takes: bool,
+    /// Whether it accepts new requests.
+    pub accepting: bool,
     /// Whether its process runs.
-    pub runs: bool,
-    /// Whether the front sends to it.
+    pub running: bool,
+    /// Whether the front sends requests to it.
     pub front: bool,
-    /// It stands still until then.
-    pub paused: Nanos,
-    /// The next look at its timers, as announced.
-    pub armed: Nanos,
-    /// Whether changes of the list are told to it.
+    /// It is paused until this time.
+    pub paused_until: Nanos,
+    /// When its next timer event is due; `Nanos::MAX` for none.
+    pub timer_at: Nanos,
+    /// Whether discovery sends it changes of the list.
     pub subscribed: bool,
-    /// Whether discovery is silent to it.
-    pub split: bool,
-    /// The version of the list that it knows.
-    pub version: u64,
-    /// Its zone.
+    /// Whether discovery sends it nothing because of a fault.
+    pub discovery_silent: bool,
+    /// The version of the list that it knows: the length of the change log at that time.
+    pub list_version: u64,
+    /// Its zone, by number.
     pub zone: usize,
-    /// Answers so far, for defects that meet some of them.
+    /// Answers so far, for defects that affect one in [`SOME`](crate::defects::SOME) of them.
     pub answers: u32,
 }
 
-/// The address that stands for a server.
+/// The address that encodes a server's number.
 pub fn address(server: u32) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(server), 1))
 }
 
-/// The server that an address stands for.
+/// The server whose number an address encodes; `u32::MAX` for an IPv6 address.
 pub fn server(address: SocketAddr) -> u32 {
     match address {
         SocketAddr::V4(a) => u32::from(*a.ip()),
