--- a/crates/sandgap-lab/src/fleet.rs
+++ b/crates/sandgap-lab/src/fleet.rs
@@ -247,7 +247,7 @@
     discovery_silent: bool,
     /// Part of the datagrams that is lost at present.
     loss: f64,
-    /// Pairs of a proxy and a server between which everything is lost.
+    /// Pairs of a proxy and a server: new attempts of the one at the other are lost on the way.
     partitions: Vec<(u32, u32)>,
     processes: u16,
     tasks: u32,
--- a/crates/sandgap-lab/src/model/arrivals.rs
+++ b/crates/sandgap-lab/src/model/arrivals.rs
@@ -1,4 +1,4 @@
-//! When requests come. Open loads don't wait for answers, as a public service meets them; a closed loop does
+//! When requests arrive. Open loads, as a public service has them, don't wait for answers; a closed loop does
 //! (Schroeder, Wierman and Harchol-Balter, "Open versus closed: a cautionary tale", NSDI 2006).
 
 use std::path::Path;
@@ -13,59 +13,59 @@
 use crate::model::laws::Law;
 use crate::streams::Stream;
 
-/// A load.
+/// The arrival process of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Load {
-    /// Independent of each other, at one rate.
+    /// A Poisson process of constant rate.
     Poisson {
         /// Requests a second over all proxies.
         rate: f64,
     },
-    /// A day: a rate that swings like a sine.
+    /// A daily cycle: a Poisson process whose rate follows a sine.
     Diurnal {
-        /// Mean rate.
+        /// Mean rate, requests a second.
         rate: f64,
-        /// Part of the mean by which it swings to either side.
+        /// Amplitude as a part of the mean, 0 to 1.
         swing: f64,
         /// Length of the day, s.
         period_s: f64,
     },
-    /// An exam week's evening: a burst within an even load.
+    /// A constant rate with one burst.
     Burst {
-        /// Rate outside the burst.
+        /// Rate outside the burst, requests a second.
         rate: f64,
-        /// By how much the burst is higher.
+        /// The rate in the burst over that outside.
         times: f64,
         /// When it begins, s.
         at_s: f64,
         /// How long it lasts, s.
         for_s: f64,
     },
-    /// A Markov-modulated Poisson process: two rates, each for a span without memory.
+    /// A Markov-modulated Poisson process: two rates, each held for an exponential time.
     Mmpp {
-        /// The lower rate.
+        /// The lower rate, requests a second.
         rate: f64,
-        /// The higher one over it.
+        /// The higher rate over the lower one.
         times: f64,
-        /// Mean span at the lower one, s.
+        /// Mean time at the lower rate, s.
         calm_s: f64,
-        /// Mean span at the higher one, s.
+        /// Mean time at the higher rate, s.
         burst_s: f64,
     },
-    /// So many users, each of whom thinks, asks and waits for the answer.
+    /// A fixed number of users, each of whom thinks, sends a request and waits for its end.
     Closed {
-        /// Users.
+        /// How many users.
         users: u32,
-        /// Time between an answer and the next request.
+        /// Time between the end of a task and the user's next request.
         think: Law,
     },
-    /// Times from a file: a CSV with a column `at_ms` and perhaps `class` and `tenant`, both by name,
+    /// Arrivals from a CSV file with the column `at_ms` and the optional columns `class` and `tenant`, both by name,
     /// `work_ms` and `timeout_ms`.
     Replay {
-        /// The file, from the experiment file's folder.
+        /// The file, relative to the experiment file's folder.
         file: String,
-        /// Times are divided by this.
+        /// Arrival times are divided by this.
         #[serde(default = "one")]
         speed: f64,
     },
@@ -76,7 +76,7 @@
 }
 
 impl Load {
-    /// Notes what is out of bounds.
+    /// Reports values that are out of range.
     pub fn check(&self, checks: &mut Checks) {
         match self {
             Load::Poisson { rate } => checks.within("load.rate", *rate, 1e-6, RATE),
@@ -109,11 +109,11 @@
 /// One line of a recorded load.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Recorded {
-    /// When, from the record's beginning, ms.
+    /// Arrival time since the beginning of the record, ms.
     pub at_ms: f64,
-    /// Its class.
+    /// Its class, by name; drawn where it is left out.
     pub class: Option<String>,
-    /// Its tenant.
+    /// Its tenant, by name; drawn where it is left out.
     pub tenant: Option<String>,
     /// Its work on a standard core, ms; drawn where it is left out.
     pub work_ms: Option<f64>,
@@ -124,47 +124,53 @@
 /// Reads a recorded load.
 ///
 /// # Errors
-/// What is wrong with the file, with its line.
+/// What is wrong with the file, with the line where one is at fault.
 pub fn recorded(path: &Path) -> Result<Vec<Recorded>, String> {
-    let named = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let size = std::fs::metadata(path).map_err(|e| named(&e))?.len();
+    let error_in = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+    let size = std::fs::metadata(path).map_err(|e| error_in(&e))?.len();
     if size > crate::limits::FILE {
-        return Err(named(&format!("{size} bytes are more than {}", crate::limits::FILE)));
+        return Err(error_in(&format!("{size} bytes are more than {}", crate::limits::FILE)));
     }
-    let mut reader = csv::Reader::from_path(path).map_err(|e| named(&e))?;
+    let mut reader = csv::Reader::from_path(path).map_err(|e| error_in(&e))?;
     let mut all: Vec<Recorded> = Vec::new();
     for (i, line) in reader.deserialize().enumerate() {
-        let line: Recorded = line.map_err(|e| named(&e))?;
+        let line: Recorded = line.map_err(|e| error_in(&e))?;
         let last = all.last().map_or(0.0, |l| l.at_ms);
-        let span = |x: Option<f64>| x.is_none_or(|x| x.is_finite() && x >= 0.0);
-        if !(span(line.work_ms) && span(line.timeout_ms)) {
-            return Err(named(&format!("line {}: work_ms or timeout_ms is no span", i + 2)));
+        let is_duration = |x: Option<f64>| x.is_none_or(|x| x.is_finite() && x >= 0.0);
+        if !(is_duration(line.work_ms) && is_duration(line.timeout_ms)) {
+            return Err(error_in(&format!(
+                "line {}: work_ms or timeout_ms is negative or not finite",
+                i + 2
+            )));
         }
         if !(line.at_ms.is_finite() && line.at_ms >= last) {
-            return Err(named(&format!("line {}: at_ms goes back or is no time", i + 2)));
+            return Err(error_in(&format!(
+                "line {}: at_ms is not finite, or less than that of the line before",
+                i + 2
+            )));
         }
         all.push(line);
     }
     Ok(all)
 }
 
-/// When the next open request comes.
+/// Draws the arrivals of an open load.
 pub struct Source {
     load: Load,
     rng: Stream,
     at: f64, // seconds
-    /// For an MMPP: whether the higher rate holds, and until when.
+    /// For an MMPP: whether the higher rate holds, and until when, s.
     high: bool,
     until: f64,
 }
 
 impl Source {
-    /// The source of an open load.
+    /// A source that starts at time 0.
     pub fn new(load: &Load, rng: Stream) -> Self {
         Source { load: load.clone(), rng, at: 0.0, high: true, until: 0.0 }
     }
 
-    /// The time of the next request; `None` for a load that is not of this kind.
+    /// The time of the next arrival; `None` for a closed or recorded load.
     pub fn next_at(&mut self) -> Option<Nanos> {
         match self.load {
             Load::Poisson { rate } => self.step(rate),
@@ -182,16 +188,18 @@
         Some((self.at * SECOND as f64) as Nanos)
     }
 
+    /// Advances by an exponential interval, at `rate` per second.
     fn step(&mut self, rate: f64) {
         let x: f64 = Exp1.sample(&mut self.rng);
         self.at += x / rate;
     }
 
-    /// Lewis and Shedler's thinning: candidates at the highest rate, each kept by the rate of its time.
-    fn thin(&mut self, most: f64, rate: impl Fn(f64) -> f64) {
+    /// Lewis and Shedler's thinning: draws candidates at the highest rate and keeps each with the probability of the
+    /// rate at its time over the highest.
+    fn thin(&mut self, highest: f64, rate: impl Fn(f64) -> f64) {
         loop {
-            self.step(most);
-            if self.rng.random::<f64>() * most <= rate(self.at) {
+            self.step(highest);
+            if self.rng.random::<f64>() * highest <= rate(self.at) {
                 return;
             }
         }
@@ -204,13 +212,13 @@
                 let x: f64 = Exp1.sample(&mut self.rng);
                 self.until = self.at + x * if self.high { burst_s } else { calm_s };
             }
-            let before = self.at;
+            let last = self.at;
             self.step(if self.high { rate * times } else { rate });
             if self.at < self.until {
                 return Some(nanos(self.at * 1000.0));
             }
-            // Nothing came before the change; without memory the wait begins anew there.
-            self.at = self.until.max(before);
+            // No arrival before the rate changes; the wait is memoryless, so it is drawn again from there.
+            self.at = self.until.max(last);
         }
     }
 }
@@ -231,7 +239,7 @@
     }
 
     #[test]
-    fn rates_are_what_they_say() {
+    fn every_load_has_its_stated_mean_rate() {
         for (load, rate) in [
             (Load::Poisson { rate: 200.0 }, 200.0),
             (Load::Diurnal { rate: 200.0, swing: 0.8, period_s: 50.0 }, 200.0),
@@ -244,13 +252,13 @@
     }
 
     #[test]
-    fn a_record_that_goes_back_is_refused_with_its_line() {
+    fn a_record_whose_times_decrease_is_rejected_with_its_line() {
         let path = std::env::temp_dir().join(format!("sandgap-lab-replay-{}.csv", std::process::id()));
         std::fs::write(&path, "at_ms,class\n1,page\n0.5,page\n").expect("a temporary file");
-        let said = recorded(&path).expect_err("it goes back");
-        assert!(said.contains("line 3"), "{said}");
+        let message = recorded(&path).expect_err("its times decrease");
+        assert!(message.contains("line 3"), "{message}");
         std::fs::write(&path, "at_ms,tenant\n1,a\n5,b\n").expect("a temporary file");
-        assert_eq!(recorded(&path).expect("a good one").len(), 2);
+        assert_eq!(recorded(&path).expect("a valid record").len(), 2);
         let _ = std::fs::remove_file(&path);
     }
 }
--- a/crates/sandgap-lab/src/model/faults.rs
+++ b/crates/sandgap-lab/src/model/faults.rs
@@ -1,5 +1,5 @@
-//! What goes wrong, and when. A fault names its kind, its targets and its span; which servers or proxies it hits
-//! is drawn once, from the run's seed, when the plan is made, so that a plan can be written down, cut and played
+//! Faults and their schedule. A fault names its kind, its targets and its duration; which servers or proxies it hits
+//! is drawn once, from the run's seed, when the plan is made, so that a plan can be written down, shortened and run
 //! again.
 
 use rand::RngExt;
@@ -10,58 +10,58 @@
 use crate::file::Checks;
 use crate::streams::Stream;
 
-/// What a server does to the requests that reach it.
+/// How a server treats the requests that reach it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Its work.
+    /// Serves them.
     #[default]
     Normal,
-    /// Takes requests and answers none.
+    /// Accepts requests and answers none; its work stands still.
     Hang,
-    /// Fails this part of its requests at once; what failed may have run.
+    /// Fails this part of its requests at once; a failed request may have run.
     Errors(f64),
-    /// Resets connections before a request is whole: it never ran.
+    /// Resets connections before a request is complete, so that it never runs.
     ResetBefore,
-    /// Runs a request, then resets.
+    /// Runs a request, then resets the connection.
     ResetAfter,
     /// Refuses connections.
     Refuse,
-    /// Says nothing at all: what is sent there is neither read nor answered.
+    /// Is silent on the wire: new requests are neither read nor answered.
     BlackHole,
 }
 
-/// One thing that happens.
+/// One action of a fault; servers and proxies are numbered from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StepAction {
-    /// A server behaves so from now on.
+    /// Sets a server's mode.
     Mode(u32, Mode),
-    /// A server has this part of its speed from now on.
+    /// Sets the part of its speed that a server has.
     Vigour(u32, f64),
-    /// Discovery hears that a server drains.
+    /// Discovery learns that a server drains.
     Drain(u32),
-    /// Discovery hears that it takes work again.
+    /// Discovery learns that a draining server accepts work again.
     Undrain(u32),
-    /// A server's process ends and discovery hears of it.
+    /// A server's process ends and discovery learns of it.
     Remove(u32),
-    /// A fresh server like this one starts cold and discovery hears of it.
+    /// A new server of the same group, zone and cell starts cold and discovery learns of it.
     Join(u32),
-    /// Discovery says nothing to anyone, then goes on.
+    /// Discovery sends nothing to any proxy (`true`), or resumes (`false`).
     Silent(bool),
-    /// Discovery says nothing to one proxy, then goes on.
+    /// Discovery sends nothing to one proxy (`true`), or resumes (`false`).
     Split(u32, bool),
-    /// Discovery sends every proxy a list as it was this many changes ago.
+    /// Discovery sends every proxy a list whose version is this many changes old.
     Stale(u32),
-    /// This part of the datagrams is lost from now on.
+    /// Sets the part of the datagrams that is lost; a negative value restores that of the experiment.
     Loss(f64),
-    /// What one proxy sends to one server is lost, then not.
+    /// What one proxy sends to one server is lost (`true`), or no longer (`false`).
     Partition(u32, u32, bool),
-    /// A proxy is killed and starts again after this long.
+    /// A proxy is killed and starts again after this long, ns.
     Kill(u32, Nanos),
-    /// A proxy takes nothing new, finishes what it holds, then starts again.
+    /// A proxy stops accepting requests, finishes those that it holds, then starts again.
     Restart(u32),
-    /// A proxy stands still for this long.
+    /// A proxy is paused for this long, ns.
     Pause(u32, Nanos),
 }
 
@@ -69,23 +69,24 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// Which.
+    /// Its kind.
     pub kind: FaultKind,
     /// When it begins, s from the start of the run.
     pub at_s: f64,
-    /// How long it lasts, s, where it lasts.
+    /// How long it lasts, s, for kinds that have a duration.
     #[serde(default)]
     pub for_s: f64,
-    /// Part of the servers (or proxies) that it hits, at least one.
+    /// Part of the servers (or proxies) that it hits, 0 to 1; always at least one.
     #[serde(default)]
     pub part: f64,
-    /// These instead, by number from 0.
+    /// The servers (or proxies) that it hits, by number from 0, instead of a drawn part.
     #[serde(default)]
     pub targets: Vec<u32>,
-    /// How strong: part of requests that fail, part of the speed that is left, part of datagrams lost.
+    /// Its strength from 0 to 1: the part of requests that fails, of the speed that is left, or of datagrams that is
+    /// lost. For a stale list, ten times the level plus 1 is its age in changes.
     #[serde(default)]
     pub level: f64,
-    /// The targets follow each other by this much, s, instead of all at once.
+    /// Delay between one target and the next, s; 0 hits all at once.
     #[serde(default)]
     pub step_s: f64,
 }
@@ -94,57 +95,57 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Servers take requests and answer none.
+    /// Servers accept requests and answer none.
     Hang,
     /// Servers have `level` of their speed (fail-slow).
     Slow,
-    /// Another program takes the rest of `level` of the speed, on and off.
+    /// A noisy neighbour: servers drop to `level` of their speed, on and off.
     Neighbour,
     /// Servers fail `level` of their requests fast.
     Errors,
-    /// Servers reset before the effect.
+    /// Servers reset connections before a request runs.
     ResetBefore,
-    /// Servers reset after the effect.
+    /// Servers reset connections after a request has run.
     ResetAfter,
     /// Servers refuse connections.
     Refuse,
     /// Servers are silent on the wire.
     BlackHole,
-    /// Servers are told to drain, and back after `for_s`.
+    /// Discovery drains servers and undrains them after `for_s`.
     Drain,
-    /// Servers are replaced by cold ones: drain, end after 3 s, successor.
+    /// Servers are replaced by cold ones: drained, ended after 3 s, and succeeded within another second.
     Deploy,
-    /// Servers end without a word and come back cold after `for_s`.
+    /// Servers end without a drain; cold ones replace them after `for_s`.
     Crash,
-    /// Discovery is silent.
+    /// Discovery sends nothing to any proxy.
     Silent,
-    /// Discovery is silent to some proxies.
+    /// Discovery sends nothing to some proxies.
     Split,
-    /// Discovery tells an old list.
+    /// Discovery sends an old list.
     Stale,
     /// Datagrams are lost.
     Loss,
-    /// Some proxies' words to some servers are lost.
+    /// What a proxy sends to a server is lost.
     Partition,
     /// Proxies are killed and start again after `for_s`.
     Kill,
-    /// Proxies are told to stop and start again.
+    /// Proxies shut down gracefully and start again.
     Restart,
-    /// Proxies stand still.
+    /// Proxies are paused.
     Pause,
 }
 
 impl FaultSpec {
-    /// Notes what is out of bounds.
+    /// Reports values that are out of range.
     pub fn check(&self, at: &str, servers: usize, proxies: usize, checks: &mut Checks) {
         checks.within(&format!("{at}.at_s"), self.at_s, 0.0, 1e7);
         checks.within(&format!("{at}.for_s"), self.for_s, 0.0, 1e7);
         checks.within(&format!("{at}.part"), self.part, 0.0, 1.0);
         checks.within(&format!("{at}.level"), self.level, 0.0, 1.0);
         checks.within(&format!("{at}.step_s"), self.step_s, 0.0, 1e7);
-        let most = if self.hits_proxies() { proxies } else { servers };
+        let limit = if self.hits_proxies() { proxies } else { servers };
         for t in &self.targets {
-            checks.within(&format!("{at}.targets"), f64::from(*t), 0.0, most as f64 - 1.0);
+            checks.within(&format!("{at}.targets"), f64::from(*t), 0.0, limit as f64 - 1.0);
         }
     }
 
@@ -153,30 +154,35 @@
         matches!(self.kind, Kill | Pause | Restart | Split)
     }
 
+    /// The numbers of the servers or proxies that it hits.
     fn draw_targets(&self, servers: u32, proxies: u32, rng: &mut Stream) -> Vec<u32> {
         if !self.targets.is_empty() {
             return self.targets.clone();
         }
-        let of = if self.hits_proxies() { proxies } else { servers };
-        let mut all: Vec<u32> = (0..of).collect();
+        let total = if self.hits_proxies() { proxies } else { servers };
+        let mut all: Vec<u32> = (0..total).collect();
         all.shuffle(rng);
-        let hit = (self.part * f64::from(of)).round().max(1.0) as usize;
-        all.truncate(hit);
+        let count = (self.part * f64::from(total)).round().max(1.0) as usize;
+        all.truncate(count);
         all
     }
 
-    /// Draws what happens.
+    /// Draws the fault's actions and adds them to `out`.
     pub fn draw(&self, servers: u32, proxies: u32, rng: &mut Stream, out: &mut Vec<Step>) {
         let (from, span) = (nanos(self.at_s * 1000.0), nanos(self.for_s * 1000.0));
         let mut put = |at: Nanos, what: StepAction| out.push(Step { at, what });
-        let whole = |put: &mut dyn FnMut(Nanos, StepAction), on: StepAction, off: StepAction| {
+        let everywhere = |put: &mut dyn FnMut(Nanos, StepAction), on: StepAction, off: StepAction| {
             put(from, on);
             put(from + span, off);
         };
         match self.kind {
-            FaultKind::Silent => return whole(&mut put, StepAction::Silent(true), StepAction::Silent(false)),
+            FaultKind::Silent => {
+                return everywhere(&mut put, StepAction::Silent(true), StepAction::Silent(false));
+            }
             FaultKind::Stale => return put(from, StepAction::Stale(1 + (self.level * 10.0) as u32)),
-            FaultKind::Loss => return whole(&mut put, StepAction::Loss(self.level), StepAction::Loss(-1.0)),
+            FaultKind::Loss => {
+                return everywhere(&mut put, StepAction::Loss(self.level), StepAction::Loss(-1.0));
+            }
             _ => {}
         }
         let step = nanos(self.step_s * 1000.0);
@@ -237,16 +243,17 @@
     }
 }
 
-/// Something that happens, and when.
+/// A fault action at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// When.
+    /// When it happens, ns.
     pub at: Nanos,
-    /// What.
+    /// The action.
     pub what: StepAction,
 }
 
-/// Every kind of fault, several of each, drawn over a span: the schedule of `hunt`.
+/// Draws faults of every kind, some of them several times, over a span, as `hunt` uses them. The actions are sorted
+/// by time.
 pub fn mixed(servers: u32, proxies: u32, span: Nanos, rng: &mut Stream) -> Vec<Step> {
     use FaultKind::*;
     let seconds = span as f64 / SECOND as f64;
@@ -284,7 +291,7 @@
     use crate::streams::stream;
 
     #[test]
-    fn the_same_seed_draws_the_same_faults_and_each_begin_has_its_end() {
+    fn the_same_seed_draws_the_same_faults_and_every_fault_that_begins_also_ends() {
         for seed in 0..50 {
             let draw = || mixed(12, 3, 6 * SECOND, &mut stream(seed, "faults", 0));
             let steps = draw();
--- a/crates/sandgap-lab/src/model/laws.rs
+++ b/crates/sandgap-lab/src/model/laws.rs
@@ -1,8 +1,8 @@
-//! Laws of chance for work, delays and think times.
+//! Probability distributions for work, delays and think times.
 //!
-//! Exponential is the model of the paper behind the decision module (Shenker and Weinrib, 1989). Lognormal fits
-//! service times of web requests in the body; a bounded Pareto has their heavy tail without an infinite moment
-//! (Harchol-Balter, "Performance Modeling and Design of Computer Systems", ch. 20). Bimodal is a cache that hits
+//! Exponential is the model of the paper behind the decision library (Shenker and Weinrib, 1989). Lognormal fits the
+//! body of the service times of web requests; a bounded Pareto has their heavy tail without an infinite moment
+//! (Harchol-Balter, "Performance Modeling and Design of Computer Systems", ch. 20). Bimodal models a cache that hits
 //! or misses.
 
 use rand::RngExt;
@@ -12,50 +12,50 @@
 use crate::file::Checks;
 use crate::streams::Stream;
 
-/// A law of spans in milliseconds. Every one is drawn so that its mean is what it says.
+/// A distribution of durations in milliseconds. Each is scaled so that its mean is the stated one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "law", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Law {
-    /// Always the same.
+    /// Always the same value.
     Constant {
-        /// The span.
+        /// The value.
         mean_ms: f64,
     },
-    /// Anything between two bounds alike.
+    /// Uniform between two bounds.
     Uniform {
-        /// The least.
+        /// The lower bound.
         least_ms: f64,
-        /// The most.
+        /// The upper bound.
         most_ms: f64,
     },
-    /// No memory.
+    /// Exponential, thus memoryless.
     Exponential {
         /// Mean.
         mean_ms: f64,
     },
-    /// Its logarithm is normal.
+    /// Lognormal.
     Lognormal {
         /// Mean.
         mean_ms: f64,
         /// Standard deviation over mean.
         cv: f64,
     },
-    /// Short ones and long ones, each constant.
+    /// One of two values, a short and a long one.
     Bimodal {
         /// Mean over both.
         mean_ms: f64,
-        /// Part of the long ones.
+        /// Part of the draws that gives the long one.
         slow_part: f64,
-        /// A long one over a short one.
+        /// The long one over the short one.
         slow_times: f64,
     },
-    /// A Pareto law cut at both ends.
+    /// Pareto, bounded at both ends.
     Pareto {
         /// Mean.
         mean_ms: f64,
-        /// Its exponent: the smaller, the heavier the tail.
+        /// Its exponent; a smaller one has a heavier tail.
         shape: f64,
-        /// The longest over the shortest.
+        /// The upper bound over the lower bound.
         most_times: f64,
     },
 }
@@ -67,7 +67,7 @@
 }
 
 impl Law {
-    /// Draws a span, ms.
+    /// Draws a duration, ms.
     pub fn draw(&self, rng: &mut Stream) -> f64 {
         match *self {
             Law::Constant { mean_ms } => mean_ms,
@@ -86,10 +86,10 @@
                 short * if rng.random::<f64>() < slow_part { slow_times } else { 1.0 }
             }
             Law::Pareto { mean_ms, shape, most_times } => {
-                // Inversion: x = (1 - u (1 - H^-a))^(-1/a) on [1, H].
+                // By inversion: x = (1 - u (1 - H^-a))^(-1/a) on [1, H].
                 let u: f64 = rng.random();
                 let x = (1.0 - u * (1.0 - most_times.powf(-shape))).powf(-1.0 / shape);
-                mean_ms * x / cut_pareto_mean(shape, most_times)
+                mean_ms * x / bounded_pareto_mean(shape, most_times)
             }
         }
     }
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Notes what is out of bounds.
+    /// Reports values that are out of range; `at` is the distribution's own key.
     pub fn check(&self, at: &str, checks: &mut Checks) {
         let key = |name: &str| format!("{at}.{name}");
         match *self {
@@ -135,8 +135,8 @@
     }
 }
 
-/// The mean of a Pareto law of exponent `a` cut to [1, `h`].
-fn cut_pareto_mean(a: f64, h: f64) -> f64 {
+/// The mean of a Pareto distribution with exponent `a`, bounded to [1, `h`].
+fn bounded_pareto_mean(a: f64, h: f64) -> f64 {
     let norm = a / (1.0 - h.powf(-a));
     if (a - 1.0).abs() < 1e-9 { norm * h.ln() } else { norm * (1.0 - h.powf(1.0 - a)) / (a - 1.0) }
 }
@@ -147,7 +147,7 @@
     use crate::streams::stream;
 
     #[test]
-    fn every_law_has_the_mean_that_it_says() {
+    fn every_law_has_its_stated_mean() {
         for law in [
             Law::Constant { mean_ms: 20.0 },
             Law::Uniform { least_ms: 10.0, most_ms: 30.0 },
--- a/crates/sandgap-lab/src/model/mod.rs
+++ b/crates/sandgap-lab/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The model of the systems that the proxy serves, each part a module with its source stated.
+//! The model of the systems around the proxies: load, servers, network and faults. Each module names its sources.
 
 pub mod arrivals;
 pub mod faults;
--- a/crates/sandgap-lab/src/model/network.rs
+++ b/crates/sandgap-lab/src/model/network.rs
@@ -1,6 +1,6 @@
-//! Delays and losses between proxies and servers and among proxies. A connection keeps its order and loses
-//! nothing (TCP); what breaks it is a fault. Datagrams are lost, doubled and overtake each other, since each
-//! draws its own delay.
+//! Delays and losses between proxies and servers and among proxies. A connection keeps its order and loses nothing
+//! (TCP), unless a fault breaks it. Datagrams may be lost or duplicated, and may be reordered, since each draws its
+//! own delay.
 
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -10,26 +10,26 @@
 use crate::model::laws::Law;
 use crate::streams::Stream;
 
-/// The network.
+/// Delays and losses of the network.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// One way between a proxy and a server of its zone.
+    /// One-way delay between a proxy and a server of its zone.
     pub servers: Law,
-    /// On top of it, one way between zones.
+    /// One-way delay between zones, added to that.
     pub crossing: Law,
-    /// What a new connection takes before the first byte may go; 0 where connections are pooled.
+    /// Time to set up a connection before the first byte may be sent; 0 where connections are pooled.
     pub dial: Law,
-    /// One way between proxies.
+    /// One-way delay between proxies.
     pub proxies: Law,
-    /// Part of the datagrams that is lost.
+    /// Part of the datagrams that is lost, 0 to 1.
     pub loss: f64,
-    /// Part of them that comes twice.
+    /// Part of the others that arrives twice, 0 to 1.
     pub doubled: f64,
 }
 
 impl Network {
-    /// Notes what is out of bounds.
+    /// Reports values that are out of range.
     pub fn check(&self, checks: &mut Checks) {
         for (name, law) in [
             ("servers", &self.servers),
@@ -43,13 +43,13 @@
         checks.within("network.doubled", self.doubled, 0.0, 1.0);
     }
 
-    /// The delay between a proxy and a server.
+    /// Draws the one-way delay between a proxy and a server.
     pub fn to_server(&self, crosses: bool, rng: &mut Stream) -> Nanos {
-        let near = self.servers.draw(rng);
-        nanos(if crosses { near + self.crossing.draw(rng) } else { near })
+        let within_zone = self.servers.draw(rng);
+        nanos(if crosses { within_zone + self.crossing.draw(rng) } else { within_zone })
     }
 
-    /// When the copies of a datagram arrive: none, one or two.
+    /// Draws the delays of a datagram's copies: none, one or two.
     pub fn datagram(&self, loss: f64, rng: &mut Stream) -> impl Iterator<Item = Nanos> + use<> {
         let copies =
             if rng.random::<f64>() < loss { 0 } else { 1 + usize::from(rng.random::<f64>() < self.doubled) };
