--- a/crates/sandgap-lab/src/checks.rs
+++ b/crates/sandgap-lab/src/checks.rs
@@ -1,5 +1,5 @@
-//! The model against what is known exactly, and the laboratory's own speed: what `sandgap-lab theory` and
-//! `sandgap-lab speed` print.
+//! Validates the model against exact results, and measures the simulator's own speed: the output of
+//! `sandgap-lab theory` and `sandgap-lab speed`.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -19,7 +19,7 @@
 use crate::streams::stream;
 use crate::theory::{Heuristic, ManySpeed, TwoSpeed, mmm_delay};
 
-/// One server with `m` cores and all the room there is, at load `rho`.
+/// One server with `m` cores and an unbounded queue, at load `rho`.
 fn mmm(m: u32, rho: f64, requests: u64) -> Experiment {
     let rate = f64::from(m) * rho * 100.0;
     let text = format!(
@@ -29,16 +29,16 @@
         requests as f64 / rate,
         (requests as f64 / rate * 0.05).max(30.0),
     );
-    parse(&text).expect("a text of ours").remove(0).experiment
+    parse(&text).expect("a valid built-in experiment").remove(0).experiment
 }
 
-/// Runs of the M/M/m check, side by side.
+/// Parallel runs of a point of the M/M/m check.
 const RUNS: u64 = 16;
 
-/// Holds a part of the model against what is known exactly.
+/// Compares a part of the model with exact results, about `requests` requests a point for the queue.
 ///
 /// # Errors
-/// A run that can't be played.
+/// If a run is aborted.
 pub fn theory(part: Part, requests: u64) -> Result<String, RunError> {
     let mut out = String::new();
     match part {
@@ -49,14 +49,14 @@
     Ok(out)
 }
 
-/// What can be checked.
+/// The part of the model to check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Part {
-    /// M/M/m through the fleet model, against Erlang's C.
+    /// The M/M/m queue through the fleet model, against Erlang's C formula.
     Queue,
-    /// Two speeds: the simulation, the formulas, the exact optimum.
+    /// Two speeds: the simulation against the formulas and the exact optimum.
     TwoSpeed,
-    /// The paper's first system of three speeds: each policy over the exact optimum.
+    /// The paper's first system of three speeds: each policy's mean delay over the exact optimum.
     ManySpeed,
 }
 
@@ -68,9 +68,9 @@
     let _ = writeln!(out, "{:>3} {:>5} {:>20} {:>10} {:>8}", "m", "rho", "simulated", "Erlang C", "off");
     for m in [1, 2, 10] {
         for rho in [0.5, 0.8, 0.95] {
-            // Near saturation neighbours resemble each other over very long spans.
-            let more = if rho > 0.9 { 6 } else { 1 };
-            let e = mmm(m, rho, requests * more / RUNS);
+            // Near saturation, delays are correlated over very long spans, so runs must be longer.
+            let longer = if rho > 0.9 { 6 } else { 1 };
+            let e = mmm(m, rho, requests * longer / RUNS);
             let one = |seed| {
                 let plan = Plan::draw(&e, PolicyKind::Random, seed, Path::new("."))?;
                 fleet::run(&plan, false, None).map(|o| o.measures.mean_ms() / 10.0)
@@ -78,13 +78,14 @@
             let all = (0..RUNS).into_par_iter().map(one).collect::<Result<Vec<f64>, RunError>>()?;
             let (got, want) = (independent(&all), mmm_delay(m, rho));
             let off = (got.mean / want - 1.0) * 100.0;
-            let _ = writeln!(out, "{m:>3} {rho:>5} {:>20} {want:>10.4} {off:>+7.2}%", shown(&got));
+            let _ = writeln!(out, "{m:>3} {rho:>5} {:>20} {want:>10.4} {off:>+7.2}%", estimate_text(&got));
         }
     }
     Ok(())
 }
 
-fn shown(e: &Estimate) -> String {
+/// An estimate as text: the mean and half the width of its interval.
+fn estimate_text(e: &Estimate) -> String {
     format!("{:.4} ± {:.4}", e.mean, e.half)
 }
 
@@ -144,8 +145,8 @@
     );
 }
 
-/// The paper's first system, and how far the queue is followed.
-fn first(lambda: f64) -> (ManySpeed, usize) {
+/// The paper's first system, and the queue length up to which it is solved.
+fn first_paper_system(lambda: f64) -> (ManySpeed, usize) {
     (ManySpeed { classes: vec![(16.0, 5), (4.0, 20)], slow: 1.0, lambda }, 90)
 }
 
@@ -161,7 +162,7 @@
     );
     let lambdas = [40.0, 70.0, 80.0, 100.0, 130.0, 150.0, 160.0, 200.0];
     let solve = |lambda: &f64| {
-        let (system, longest) = first(*lambda);
+        let (system, longest) = first_paper_system(*lambda);
         let (optimum, _) = system.delay(None, longest);
         let of = |h| system.delay(Some(&system.thresholds(h)), longest).0 / optimum;
         let all = [Heuristic::Sed, Heuristic::Nq, Heuristic::Gt, Heuristic::D].map(of);
@@ -171,19 +172,19 @@
     let mut worst = 0.0f64;
     for (lambda, (optimum, all, d)) in lambdas.iter().zip(solved) {
         worst = worst.max(all[3] - 1.0);
-        let [sed, nq, gt, ours] = all;
+        let [sed, nq, gt, d_delay] = all;
         let taus = format!("{:?}", &d[1..]);
         let _ = writeln!(
             out,
-            "{lambda:>6} {optimum:>10.5} {sed:>9.4} {nq:>9.4} {gt:>9.4} {ours:>9.4} {taus:>14}"
+            "{lambda:>6} {optimum:>10.5} {sed:>9.4} {nq:>9.4} {gt:>9.4} {d_delay:>9.4} {taus:>14}"
         );
     }
-    // No set of thresholds can do better than the optimum of all policies.
+    // The optimum over all policies bounds what any set of thresholds can reach.
     let _ = writeln!(out, "D is above the optimum by {:.3}% at most", worst * 100.0);
 }
 
-/// The calendar against a binary heap: each event that comes out puts one in, as a fleet does.
-fn queues(out: &mut String) {
+/// Compares the calendar with a binary heap: each event popped pushes another, as in a fleet.
+fn calendar_against_heap(out: &mut String) {
     let _ = writeln!(out, "events held   calendar ns   heap ns   (a pop and a push, in turn, least of 5)");
     for held in [100u64, 10_000, 1_000_000] {
         let (mut calendar, mut heap) = (f64::INFINITY, f64::INFINITY);
@@ -212,15 +213,16 @@
     }
 }
 
+/// Pops and pushes of one measurement.
 const STEPS: u64 = 300_000;
 
-/// Requests a second of wall time, by the size of the fleet.
+/// Measures requests per second of wall time, by the size of the fleet.
 ///
 /// # Errors
-/// A run that can't be played.
+/// If a run is aborted.
 pub fn speed() -> Result<String, RunError> {
     let mut out = String::new();
-    queues(&mut out);
+    calendar_against_heap(&mut out);
     let _ = writeln!(
         out,
         "{:>7} {:>8} {:>9} {:>10} {:>12} {:>9}",
@@ -239,7 +241,7 @@
                 servers / 3,
                 servers - servers / 3
             );
-            let e = parse(&text).expect("a text of ours").remove(0).experiment;
+            let e = parse(&text).expect("a valid built-in experiment").remove(0).experiment;
             let plan = Plan::draw(&e, policy, 1, Path::new("."))?;
             let start = Instant::now();
             let end = fleet::run(&plan, false, None)?;
--- a/crates/sandgap-lab/src/file.rs
+++ b/crates/sandgap-lab/src/file.rs
@@ -1,4 +1,4 @@
-//! The experiment file: what it may hold, and everything that is wrong with it at once.
+//! The experiment file: its format, and checks that report all of its errors at once.
 
 use std::path::{Path, PathBuf};
 
@@ -17,67 +17,67 @@
 use crate::model::server::{Build, ColdRule};
 use crate::rivals::PolicyKind;
 
-/// A file that can't be used.
+/// Why an experiment file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
     /// It can't be read.
     #[error("{0}: {1}")]
     Unread(PathBuf, std::io::Error),
-    /// It is larger than a file may be.
+    /// It is larger than [`FILE`] bytes.
     #[error("{0}: {1} bytes are more than {FILE}")]
     Large(PathBuf, u64),
-    /// It is wrong.
+    /// Its contents are invalid; these are the problems found.
     #[error("{}", .1.iter().map(|p| format!("{}: {p}", .0.display())).collect::<Vec<_>>().join("\n"))]
     Wrong(PathBuf, Vec<Problem>),
 }
 
-/// Problems of values, named by dotted keys.
+/// Collects invalid values, each with its dotted key.
 #[derive(Debug, Default)]
 pub struct Checks {
     found: Vec<(String, String)>,
 }
 
 impl Checks {
-    /// Notes a number that is out of bounds or none.
+    /// Reports a number that is out of range or NaN.
     pub fn within(&mut self, key: &str, x: f64, least: f64, most: f64) {
         if !(x >= least && x <= most) {
             self.wrong(key, format!("{x} is not from {least} to {most}"));
         }
     }
 
-    /// Notes what is wrong with a key.
+    /// Reports a problem of a key.
     pub fn wrong(&mut self, key: &str, text: String) {
         self.found.push((key.to_owned(), text));
     }
 }
 
-/// A whole experiment, at one point of its sweeps.
+/// An experiment, at one point of its sweeps.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     /// Its name.
     pub name: String,
-    /// What it asks.
+    /// The question that it answers.
     #[serde(default)]
     pub about: String,
-    /// The first seed; repetitions take the next ones.
+    /// The first seed; each repetition takes the next one.
     #[serde(default)]
     pub seed: u64,
-    /// Runs a point, each with a seed of its own.
+    /// Runs per point and policy, each with a seed of its own.
     #[serde(default = "ten")]
     pub repetitions: u32,
-    /// Virtual seconds that are counted.
+    /// Virtual seconds that are measured.
     pub seconds: f64,
-    /// Virtual seconds before them that are not.
+    /// Virtual seconds of warm-up before them, which are not measured.
     #[serde(default = "ten_seconds")]
     pub warm_seconds: f64,
-    /// Who decides.
-    #[serde(default = "ours")]
+    /// The policies to compare.
+    #[serde(default = "default_policies")]
     pub policies: Vec<PolicyKind>,
-    /// Proxies.
+    /// The proxies.
     #[serde(default)]
     pub fleet: Fleet,
-    /// Groups of like servers.
+    /// Groups of identical servers.
     #[serde(rename = "server")]
     pub servers: Vec<Group>,
     /// Classes of requests.
@@ -86,27 +86,27 @@
     /// Tenants.
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<TenantSpec>,
-    /// When requests come.
+    /// When requests arrive.
     pub load: Load,
-    /// What clients do.
+    /// How clients behave.
     #[serde(default)]
     pub clients: Clients,
-    /// Delays and losses.
+    /// Delays and losses of the network.
     #[serde(default)]
     pub network: Network,
-    /// How the list of servers is told.
+    /// How proxies get the list of servers.
     #[serde(default)]
     pub discovery: DiscoverySpec,
     /// How cold servers behave.
     #[serde(default)]
     pub cold: ColdRule,
-    /// What goes wrong.
+    /// Faults.
     #[serde(default, rename = "fault")]
     pub faults: Vec<FaultSpec>,
-    /// Adds every kind of fault, drawn from the seed, as `hunt` does.
+    /// Whether to add faults of every kind, drawn from the seed, as `hunt` does.
     #[serde(default)]
     pub mixed_faults: bool,
-    /// Keys that take several values, one after another.
+    /// Keys that take several values; points are all their combinations.
     #[serde(default, rename = "sweep")]
     pub sweeps: Vec<Sweep>,
 }
@@ -119,7 +119,7 @@
     10.0
 }
 
-fn ours() -> Vec<PolicyKind> {
+fn default_policies() -> Vec<PolicyKind> {
     vec![PolicyKind::Sandgap]
 }
 
@@ -127,25 +127,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// How many.
+    /// Number of proxies.
     pub proxies: u32,
-    /// Zones; proxies stand in them in turn. None: no zones.
+    /// Zones, to which proxies are assigned in turn; empty for a fleet without zones.
     pub zones: Vec<String>,
-    /// Whether proxies may tell each other what they hold.
+    /// Whether proxies may send each other messages.
     pub may_tell: bool,
-    /// What the list's ratings tell.
-    pub rating: RatingWord,
-    /// Requests that one proxy may hold unanswered.
+    /// What the ratings in the server list mean.
+    pub rating: RatingKind,
+    /// Unanswered requests that one proxy may hold.
     pub most_held: usize,
-    /// Attempts for one request.
+    /// Attempts per request, at most.
     pub max_attempts: u32,
-    /// What a crossing between zones costs, as a part of a mean request's worth.
+    /// The cost of a crossing between zones, as a part of a mean request's worth.
     pub crossing_price: f64,
-    /// What a request beyond its tenant's allowance is worth.
+    /// The worth of a request beyond its tenant's allowance, as a part of its full worth, 0 to 1.
     pub over_share_worth: f64,
-    /// The front sends to a proxy that is gone for this long, ms.
+    /// How long the front still sends to a proxy that was killed, ms.
     pub front_notices_ms: f64,
-    /// A driver that breaks a rule, to see it caught.
+    /// A defect that makes the driver break a rule, to show that the checker finds it.
     pub defect: Option<Defect>,
 }
 
@@ -155,7 +155,7 @@
             proxies: 1,
             zones: Vec::new(),
             may_tell: true,
-            rating: RatingWord::Size,
+            rating: RatingKind::Size,
             most_held: 1_000_000,
             max_attempts: 6,
             crossing_price: 0.0,
@@ -166,39 +166,39 @@
     }
 }
 
-/// What ratings tell.
+/// What ratings mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum RatingWord {
+pub enum RatingKind {
     /// A server's size.
     #[default]
     Size,
-    /// Nothing.
+    /// Nothing; they are ignored.
     Silent,
 }
 
-/// Like servers.
+/// A group of identical servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// How many.
+    /// Number of servers.
     pub count: u32,
-    /// Their kind, as the list tells it.
+    /// Their kind, as the server list states it.
     #[serde(default)]
     pub kind: Option<String>,
-    /// Their zone; without one they stand in all zones in turn.
+    /// Their zone; servers without one are assigned to all zones in turn.
     #[serde(default)]
     pub zone: Option<String>,
-    /// What each is like.
+    /// The capacity and limits of each.
     #[serde(default)]
     pub build: Build,
-    /// The speed of each lies within this part of the build's, to either side.
+    /// Each server's speed is drawn from the build's speed, plus or minus this part of it.
     #[serde(default)]
     pub spread: f64,
-    /// What the list says of the size of each; cores times speed where it is left out.
+    /// The size of each in the server list; cores times speed where it is left out.
     #[serde(default)]
     pub rating: Option<f64>,
-    /// Servers of a cell, which drop each other's repeats.
+    /// Servers per cell; those of a cell drop each other's duplicates.
     #[serde(default = "three")]
     pub cell: u32,
 }
@@ -207,15 +207,15 @@
     3
 }
 
-/// Whether a class may run again.
+/// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum EffectWord {
-    /// As often as one likes.
+pub enum EffectKind {
+    /// Any number of times.
     Safe,
-    /// Within a cell, for a while.
+    /// Only within a cell and for the class's window, where duplicates are dropped.
     Keyed,
-    /// Never.
+    /// At most once.
     Unsafe,
 }
 
@@ -225,22 +225,22 @@
 pub struct ClassSpec {
     /// Its name.
     pub name: String,
-    /// Whether it may run again.
-    pub effect: EffectWord,
-    /// For a keyed class, how long a cell drops repeats, ms.
+    /// Whether it may run more than once.
+    pub effect: EffectKind,
+    /// For a keyed class, how long a cell drops duplicates, ms.
     #[serde(default = "window")]
     pub window_ms: f64,
-    /// Wanted time.
+    /// Target response time, ms.
     pub aim_ms: f64,
-    /// The client gives up.
+    /// When the client gives up, ms.
     pub deadline_ms: f64,
-    /// What an answer in time is worth.
+    /// The worth of an answer within the aim.
     #[serde(default = "one")]
     pub worth: f64,
-    /// Its part of the requests, against the other classes' parts.
+    /// Its share of the requests, relative to the other classes' shares.
     #[serde(default = "one")]
     pub share: f64,
-    /// Its work on a standard core.
+    /// Its work, in ms on a standard core.
     pub work: Law,
 }
 
@@ -258,24 +258,24 @@
 pub struct TenantSpec {
     /// Its name.
     pub name: String,
-    /// Its part of the requests, against the other tenants' parts.
+    /// Its share of the requests, relative to the other tenants' shares.
     #[serde(default = "one")]
     pub share: f64,
-    /// Requests a second that count in full.
+    /// Requests per second that have their full worth.
     pub allowance_per_s: f64,
 }
 
-/// What clients do.
+/// How clients behave.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Whether and how they try again.
+    /// Whether and how they retry.
     pub retry: Retry,
-    /// Tries after the first, at most.
+    /// Retries of a task, at most.
     pub tries: u32,
-    /// The least part of a class's deadline that a client waits; each draws its own up to the whole.
+    /// The smallest part of a class's deadline that a client waits, 0.01 to 1; each task draws from there to 1.
     pub patience: f64,
-    /// Part of the clients that leave before their answer.
+    /// Part of the tasks whose client may disconnect early, 0 to 1: after a time drawn up to twice its work.
     pub leave: f64,
 }
 
@@ -285,25 +285,25 @@
     }
 }
 
-/// How clients try again.
+/// How clients retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Retry {
     /// Not at all.
     Never,
-    /// After a refusal alone, once the told span has passed, spread out.
+    /// Only after a refusal or if no proxy accepted, after the stated delay (or a default) and some random extra.
     Well,
-    /// After whatever is no answer, at once.
+    /// After anything but an answer, after 1 ms.
     Badly,
 }
 
-/// How the list is told.
+/// How proxies get the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DiscoverySpec {
-    /// Only after it was asked.
+    /// Whether discovery sends the list only after a proxy subscribes.
     pub asked: bool,
-    /// What a change takes to reach a proxy.
+    /// How long a change takes to reach a proxy.
     pub delay: Law,
 }
 
@@ -313,25 +313,25 @@
     }
 }
 
-/// A key that takes several values.
+/// A key that takes several values, given as a list or a range.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// The key, dotted; entries of a list by number from 0, or `*` for all of them.
+    /// The dotted key; entries of a list are numbered from 0, and `*` is all of them.
     pub key: String,
-    /// Its values.
+    /// The values.
     #[serde(default)]
     pub values: Vec<Value>,
-    /// Or the first of a range...
+    /// The first value of a range.
     #[serde(default)]
     pub from: Option<f64>,
-    /// ...and the last...
+    /// The last value of the range.
     #[serde(default)]
     pub to: Option<f64>,
-    /// ...in so many steps.
+    /// The number of values in the range.
     #[serde(default)]
     pub steps: Option<u32>,
-    /// Steps of equal ratio instead of equal difference.
+    /// Whether the values have equal ratios instead of equal differences.
     #[serde(default)]
     pub ratio: bool,
 }
@@ -364,19 +364,19 @@
     }
 }
 
-/// A point of an experiment: what its sweeps set, and the experiment with it set.
+/// A point of an experiment: the values that its sweeps set, and the experiment with them.
 #[derive(Clone, Debug)]
 pub struct Point {
-    /// Of each sweep its key and value.
+    /// The key and value of each sweep.
     pub set: Vec<(String, String)>,
-    /// The experiment there.
+    /// The experiment at this point.
     pub experiment: Experiment,
 }
 
-/// Reads a file: all points, in the order of the sweeps, the last one running fastest.
+/// Reads an experiment file and returns all points, in the order of the sweeps; the last sweep varies fastest.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// If the file can't be read, or all problems of its contents (at most [`PROBLEMS`]).
 pub fn read(path: &Path) -> Result<Vec<Point>, FileError> {
     let unread = |e| FileError::Unread(path.to_owned(), e);
     let size = std::fs::metadata(path).map_err(unread)?.len();
@@ -387,10 +387,10 @@
     parse(&text).map_err(|problems| FileError::Wrong(path.to_owned(), problems))
 }
 
-/// Reads a text; see [`read`].
+/// Parses the text of an experiment file; see [`read`].
 ///
 /// # Errors
-/// All that is wrong with it.
+/// All problems of the text, at most [`PROBLEMS`].
 pub fn parse(text: &str) -> Result<Vec<Point>, Vec<Problem>> {
     let (spanned, errors) = DeTable::parse_recoverable(text);
     if !errors.is_empty() {
@@ -403,8 +403,9 @@
     let table: Table = text.parse().map_err(|e: toml::de::Error| {
         vec![Problem { line: e.span().map_or(0, |s| line(text, s.start)), text: e.message().to_owned() }]
     })?;
-    let problem = |key: &str, what: String| Problem { line: find(text, spanned.get_ref(), key), text: what };
-    let base = typed(table.clone())
+    let problem =
+        |key: &str, what: String| Problem { line: line_of_key(text, spanned.get_ref(), key), text: what };
+    let base = deserialize(table.clone())
         .map_err(|found| found.into_iter().map(|(key, what)| problem(&key, what)).collect::<Vec<_>>())?;
     let mut problems = Vec::new();
     let mut points = Vec::new();
@@ -417,23 +418,23 @@
     for set in combinations(&base.sweeps) {
         let mut at = Value::Table(table.clone());
         for (key, value) in &set {
-            if let Err(what) = put(&mut at, key, value) {
+            if let Err(what) = set_key(&mut at, key, value) {
                 problems.push(problem("sweep", format!("sweep over '{key}': {what}")));
             }
         }
         let Value::Table(at) = at else { break };
-        let found = match typed(at) {
+        let found = match deserialize(at) {
             Ok(experiment) => {
                 let mut checks = Checks::default();
                 experiment.check(&mut checks);
-                let set = set.iter().map(|(k, v)| (k.clone(), plain(v))).collect();
+                let set = set.iter().map(|(k, v)| (k.clone(), value_text(v))).collect();
                 points.push(Point { set, experiment });
                 checks.found
             }
             Err(found) => found,
         };
         problems.extend(found.into_iter().map(|(key, what)| {
-            let about = if set.is_empty() { String::new() } else { format!(" (with {})", told(&set)) };
+            let about = if set.is_empty() { String::new() } else { format!(" (with {})", set_text(&set)) };
             problem(&key, format!("{key}: {what}{about}"))
         }));
         if problems.len() >= PROBLEMS {
@@ -449,19 +450,21 @@
     Err(problems)
 }
 
-fn plain(value: &Value) -> String {
+/// A value as text, strings without quotes.
+fn value_text(value: &Value) -> String {
     match value {
         Value::String(s) => s.clone(),
         other => other.to_string(),
     }
 }
 
-fn told(set: &[(String, Value)]) -> String {
-    set.iter().map(|(k, v)| format!("{k} = {}", plain(v))).collect::<Vec<_>>().join(", ")
+fn set_text(set: &[(String, Value)]) -> String {
+    set.iter().map(|(k, v)| format!("{k} = {}", value_text(v))).collect::<Vec<_>>().join(", ")
 }
 
-/// A table as an experiment; else every key that is unknown or of a wrong kind, by taking each out and going on.
-fn typed(table: Table) -> Result<Experiment, Vec<(String, String)>> {
+/// Deserializes an experiment. On failure it returns every key that is unknown, missing or of a wrong type: it removes
+/// each bad key and tries again.
+fn deserialize(table: Table) -> Result<Experiment, Vec<(String, String)>> {
     let (mut at, mut found) = (Value::Table(table), Vec::new());
     loop {
         match serde_path_to_error::deserialize::<_, Experiment>(at.clone()) {
@@ -476,15 +479,15 @@
                 };
                 let key = key.trim_start_matches('.').to_owned();
                 let missing = message.strip_prefix("missing field `").and_then(|m| m.split('`').next());
-                // What lacks a key that was itself wrong and taken out needs no second word.
+                // A key that is missing because it was removed as wrong is not reported twice.
                 let known = missing.is_some_and(|m| {
                     let full = if key.is_empty() { m.to_owned() } else { format!("{key}.{m}") };
                     found.iter().any(|(k, _)| *k == full || k.starts_with(&format!("{full}.")))
                 });
                 if !known {
-                    found.push((key.clone(), helped(&message)));
+                    found.push((key.clone(), with_suggestion(&message)));
                 }
-                if found.len() >= PROBLEMS || !take_out(&mut at, &key) {
+                if found.len() >= PROBLEMS || !remove_key(&mut at, &key) {
                     return Err(found);
                 }
             }
@@ -492,8 +495,8 @@
     }
 }
 
-/// A reader's message, shortened to the nearest name where it lists what it expected.
-fn helped(message: &str) -> String {
+/// A deserializer's message; a list of expected names is replaced by the nearest of them.
+fn with_suggestion(message: &str) -> String {
     let first = message.lines().next().unwrap_or(message);
     let Some((what, expected)) = first.split_once(", expected ") else { return first.to_owned() };
     let Some(given) = what.split('`').nth(1) else { return first.to_owned() };
@@ -504,16 +507,17 @@
     }
 }
 
-/// The parts of a dotted key, `a[0].b` and `a.0.b` alike.
-fn parts(key: &str) -> Vec<String> {
+/// The parts of a dotted key; `a[0].b` is the same as `a.0.b`.
+fn key_parts(key: &str) -> Vec<String> {
     key.replace('[', ".").replace(']', "").split('.').filter(|p| !p.is_empty()).map(str::to_owned).collect()
 }
 
-fn take_out(at: &mut Value, key: &str) -> bool {
-    let parts = parts(key);
-    let Some((last, way)) = parts.split_last() else { return false };
+/// Removes a key; whether there was one to remove.
+fn remove_key(at: &mut Value, key: &str) -> bool {
+    let parts = key_parts(key);
+    let Some((last, path)) = parts.split_last() else { return false };
     let mut here = at;
-    for part in way {
+    for part in path {
         let next = match here {
             Value::Table(t) => t.get_mut(part),
             Value::Array(a) => part.parse::<usize>().ok().and_then(|i| a.get_mut(i)),
@@ -528,7 +532,7 @@
         Value::Table(table) => table.remove(last).is_some(),
         Value::Array(all) => match last.parse::<usize>() {
             Ok(i) if i < all.len() => {
-                // A like entry holds its place, so that the numbers after it stay right.
+                // Another entry replaces it, so that the numbers of the entries after it stay right.
                 let like = (0..all.len()).find(|k| *k != i).map(|k| all[k].clone());
                 match like {
                     Some(like) if like != all[i] => all[i] = like,
@@ -542,12 +546,12 @@
     }
 }
 
-/// Sets a key; `*` stands for all entries of a list.
-fn put(at: &mut Value, key: &str, value: &Value) -> Result<(), String> {
-    fn go(at: &mut Value, way: &[String], value: &Value) -> Result<(), String> {
-        let [part, rest @ ..] = way else {
+/// Sets a key; `*` is all entries of a list.
+fn set_key(at: &mut Value, key: &str, value: &Value) -> Result<(), String> {
+    fn descend(at: &mut Value, path: &[String], value: &Value) -> Result<(), String> {
+        let [part, rest @ ..] = path else {
             *at = match (&*at, value) {
-                // A range gives numbers with a point; where a whole one stood, a whole one goes.
+                // A range gives floats; one without a fraction replaces an integer as an integer.
                 (Value::Integer(_), Value::Float(x)) if x.fract() == 0.0 => Value::Integer(*x as i64),
                 _ => value.clone(),
             };
@@ -560,23 +564,24 @@
             }
             Value::Table(t) => {
                 let next = t.entry(part.clone()).or_insert_with(|| Value::Table(Table::new()));
-                go(next, rest, value)
+                descend(next, rest, value)
             }
-            Value::Array(a) if part == "*" => a.iter_mut().try_for_each(|e| go(e, rest, value)),
+            Value::Array(a) if part == "*" => a.iter_mut().try_for_each(|e| descend(e, rest, value)),
             Value::Array(a) => {
                 let count = a.len();
                 let entry = part.parse::<usize>().ok().and_then(|i| a.get_mut(i));
-                go(entry.ok_or(format!("there is no entry {part} among {count}"))?, rest, value)
+                descend(entry.ok_or(format!("there is no entry {part} among {count}"))?, rest, value)
             }
-            _ => Err(format!("'{part}' lies below a plain value")),
+            _ => Err(format!("'{part}' is below a value that is neither a table nor a list")),
         }
     }
     if key.starts_with("sweep") {
         return Err("a sweep can't change a sweep".into());
     }
-    go(at, &parts(key), value)
+    descend(at, &key_parts(key), value)
 }
 
+/// All combinations of the sweeps' values; the last sweep varies fastest.
 fn combinations(sweeps: &[Sweep]) -> Vec<Vec<(String, Value)>> {
     sweeps.iter().fold(vec![Vec::new()], |all, sweep| {
         let longer = |set: &Vec<(String, Value)>| {
@@ -591,27 +596,27 @@
     })
 }
 
-/// The line of a dotted key, or of the nearest thing above it that stands in the file.
-fn find(text: &str, table: &DeTable, key: &str) -> usize {
-    fn go(text: &str, at: &DeValue, way: &[String], found: usize) -> usize {
-        let [part, rest @ ..] = way else { return found };
+/// The line of a dotted key, or of its nearest parent that is in the file.
+fn line_of_key(text: &str, table: &DeTable, key: &str) -> usize {
+    fn descend(text: &str, at: &DeValue, path: &[String], found: usize) -> usize {
+        let [part, rest @ ..] = path else { return found };
         match at {
             DeValue::Table(t) => match t.iter().find(|(k, _)| k.get_ref() == part) {
-                Some((k, v)) => go(text, v.get_ref(), rest, line(text, k.span().start)),
+                Some((k, v)) => descend(text, v.get_ref(), rest, line(text, k.span().start)),
                 None => found,
             },
             DeValue::Array(a) => match part.parse::<usize>().ok().and_then(|i| a.get(i)) {
-                Some(v) => go(text, v.get_ref(), rest, line(text, v.span().start)),
+                Some(v) => descend(text, v.get_ref(), rest, line(text, v.span().start)),
                 None => found,
             },
             _ => found,
         }
     }
-    go(text, &DeValue::Table(table.clone()), &parts(key), 0)
+    descend(text, &DeValue::Table(table.clone()), &key_parts(key), 0)
 }
 
 impl Experiment {
-    /// Notes what no single key's kind can tell.
+    /// Reports values that are out of range or contradict each other, which types alone can't rule out.
     pub fn check(&self, checks: &mut Checks) {
         checks.within("seconds", self.seconds, 0.001, SECONDS);
         checks.within("warm_seconds", self.warm_seconds, 0.0, SECONDS);
@@ -624,7 +629,7 @@
         checks.within("fleet.front_notices_ms", f.front_notices_ms, 0.0, 60_000.0);
         checks.within("fleet.most_held", f.most_held as f64, 1.0, 1e9);
         if self.policies.is_empty() {
-            checks.wrong("policies", "name at least one".into());
+            checks.wrong("policies", "name at least one policy".into());
         }
         let servers: u64 = self.servers.iter().map(|g| u64::from(g.count)).sum();
         if servers == 0 || servers > SERVERS as u64 {
@@ -658,7 +663,7 @@
         }
     }
 
-    /// What the decision module of one proxy is told.
+    /// The settings of the decision library at proxy number `me`.
     pub fn settings(&self, me: u32) -> module::Settings {
         let f = &self.fleet;
         let zone = (!f.zones.is_empty()).then(|| module::ZoneId(me % f.zones.len() as u32));
@@ -680,8 +685,8 @@
                 module::Discovery::Pushed
             },
             rating: match f.rating {
-                RatingWord::Size => module::Rating::Size,
-                RatingWord::Silent => module::Rating::Silent,
+                RatingKind::Size => module::Rating::Size,
+                RatingKind::Silent => module::Rating::Silent,
             },
             warm_keys: false,
             messages_allowed: f.may_tell && f.proxies > 1,
@@ -733,21 +738,21 @@
         }
     }
 
-    /// Whether it may run again, in the module's words.
+    /// The effect as the decision library's type.
     pub fn module_effect(&self) -> module::Effect {
         match self.effect {
-            EffectWord::Safe => module::Effect::Safe,
-            EffectWord::Keyed => module::Effect::Keyed { group: module::Group::Cell, window: self.window_ms },
-            EffectWord::Unsafe => module::Effect::Unsafe,
+            EffectKind::Safe => module::Effect::Safe,
+            EffectKind::Keyed => module::Effect::Keyed { group: module::Group::Cell, window: self.window_ms },
+            EffectKind::Unsafe => module::Effect::Unsafe,
         }
     }
 
-    /// The same for the four rules.
+    /// The effect as the rule checker's type.
     pub fn effect(&self) -> sandgap_rules::Effect {
         match self.effect {
-            EffectWord::Safe => sandgap_rules::Effect::Safe,
-            EffectWord::Keyed => sandgap_rules::Effect::Keyed((self.window_ms * 1000.0) as u64),
-            EffectWord::Unsafe => sandgap_rules::Effect::Unsafe,
+            EffectKind::Safe => sandgap_rules::Effect::Safe,
+            EffectKind::Keyed => sandgap_rules::Effect::Keyed((self.window_ms * 1000.0) as u64),
+            EffectKind::Unsafe => sandgap_rules::Effect::Unsafe,
         }
     }
 }
--- a/crates/sandgap-lab/src/fleet/events.rs
+++ b/crates/sandgap-lab/src/fleet/events.rs
@@ -81,8 +81,8 @@
     /// A cold server warms up by one step.
     fn warm_step(&mut self, now: Nanos, s: u32) {
         let server = &mut self.servers[s as usize].server;
-        server.pace(now);
-        if let Some(span) = server.warming(now) {
+        server.update_rate(now);
+        if let Some(span) = server.warm_step(now) {
             self.calendar.push(now + span, Event::WarmStep(s));
         }
         self.schedule_completion(now, s);
--- a/crates/sandgap-lab/src/model/arrivals.rs
+++ b/crates/sandgap-lab/src/model/arrivals.rs
@@ -145,7 +145,7 @@
         }
         if !(line.at_ms.is_finite() && line.at_ms >= last) {
             return Err(error_in(&format!(
-                "line {}: at_ms is not finite, or less than that of the line before",
+                "line {}: at_ms is negative, not finite or less than that of the line before",
                 i + 2
             )));
         }
--- a/crates/sandgap-lab/src/model/server.rs
+++ b/crates/sandgap-lab/src/model/server.rs
@@ -1,10 +1,10 @@
-//! A server: cores that work through requests, a bound on what it takes, a cold start that falls over when it is
-//! pushed, and slowness of its own.
+//! A server: cores that work through requests, admission limits, a cold start during which overload crashes it, and a
+//! variable speed.
 //!
-//! Work progresses on one clock of the server: all requests in service get the same rate, so that one completion
-//! is known to be the next without touching the others (the virtual time of processor sharing). Sources: queue
-//! and sharing as in Kleinrock, "Queueing Systems" II; thrashing as a power law past a point; the cold start as
-//! the operators' rule tells it (sent more than a multiple of its present capacity for a span, it falls over).
+//! Work progresses on one clock of the server: all requests in service get the same rate, so the next completion is
+//! known without updating the others (the virtual time of processor sharing). Sources: queue and sharing as in
+//! Kleinrock, "Queueing Systems" II; thrashing as a power law past a point; the cold start as in the operators' rule
+//! (a cold server that is sent more than a multiple of its present capacity over a span falls over).
 
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, VecDeque};
@@ -18,30 +18,30 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Discipline {
-    /// One request a core, the rest wait in turn.
+    /// One request per core; the rest wait, first come, first served.
     #[default]
     Queue,
-    /// All at once share the cores.
+    /// All requests share the cores at once.
     Shared,
 }
 
-/// What a server is like.
+/// A server's capacity and limits.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Build {
-    /// Cores; 0 for a server that takes any number of requests at once and slows none.
+    /// Number of cores; 0 for a server that runs any number of requests at once without slowing down.
     pub cores: u32,
-    /// Work done in a millisecond on a core, ms on a standard core.
+    /// Speed of a core: work done in a millisecond, in ms on a standard core.
     pub speed: f64,
     /// How requests share the cores.
     pub discipline: Discipline,
-    /// Requests that may wait for a core, where they queue.
+    /// Requests that may wait for a core, under [`Discipline::Queue`].
     pub queue: u32,
-    /// Requests that it takes at once, waiting ones included; one more is turned away unseen.
+    /// Requests that it holds at once, waiting ones included; one more is rejected without running.
     pub cap: u32,
-    /// Requests a core past which it gets less done.
+    /// Requests per core above which its throughput drops.
     pub thrash_at: f64,
-    /// How much less: with twice that many, the work done shrinks by 2 to this power.
+    /// Exponent of that drop: at twice that many requests, throughput shrinks by 2 to this power.
     pub thrash: f64,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Build {
-    /// Notes what is out of bounds.
+    /// Reports values that are out of range; `at` is the build's own key.
     pub fn check(&self, at: &str, checks: &mut Checks) {
         checks.within(&format!("{at}.cores"), f64::from(self.cores), 0.0, 100_000.0);
         checks.within(&format!("{at}.speed"), self.speed, 1e-6, 1e6);
@@ -70,17 +70,17 @@
     }
 }
 
-/// The figures of a cold start.
+/// The parameters of a cold start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ColdRule {
-    /// Part of its capacity that a fresh server has.
+    /// Part of its capacity that a new server has.
     pub start: f64,
-    /// Span after which it has all of it, ms.
+    /// Time until it has all of it, ms; it grows linearly.
     pub warm_ms: f64,
-    /// Work beyond this multiple of what it can do...
+    /// A cold server falls over if it is sent more work than this multiple of its present capacity...
     pub multiple: f64,
-    /// ...for this span makes it fall over, ms.
+    /// ...over this span, ms.
     pub span_ms: f64,
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl ColdRule {
-    /// Notes what is out of bounds.
+    /// Reports values that are out of range.
     pub fn check(&self, checks: &mut Checks) {
         checks.within("cold.start", self.start, 0.01, 1.0);
         checks.within("cold.warm_ms", self.warm_ms, 1.0, 1e8);
@@ -100,25 +100,26 @@
     }
 }
 
-/// Steps in which a cold server warms.
+/// Number of steps in which a cold server's rate is updated.
 const WARM_STEPS: f64 = 50.0;
-/// A few requests more than the rule's sum are chance, not a push: so many times the work of the one in hand.
-const CHANCE: f64 = 4.0;
+/// Work beyond the rule's limit that is put down to chance, not overload, as a multiple of the present request's.
+const OVERLOAD_MARGIN: f64 = 4.0;
 
-/// What becomes of a request.
+/// How a server receives a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It runs or waits.
+    /// It runs or waits for a core.
     In,
-    /// Turned away: it never runs.
+    /// Rejected because the server is full: it never runs.
     Full,
-    /// The server falls over under it.
+    /// The server falls over, or already has.
     Falls,
 }
 
+/// A request in service.
 #[derive(Clone, Copy, Debug)]
 struct Job {
-    /// The server's clock at its end.
+    /// The server's clock when it completes.
     end: f64,
     attempt: u32,
 }
@@ -138,7 +139,7 @@
 }
 
 impl Ord for Job {
-    /// The first to end is the greatest, as the heap gives that; ties by number.
+    /// The first to complete is the greatest, as a heap pops the greatest; ties go by the lower number.
     fn cmp(&self, other: &Self) -> Ordering {
         other.end.total_cmp(&self.end).then(other.attempt.cmp(&self.attempt))
     }
@@ -147,30 +148,30 @@
 /// A running server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// What it is like.
+    /// Its capacity and limits.
     pub build: Build,
     rule: ColdRule,
     born: Option<Nanos>,
-    /// Work that each request in service has got since the beginning, ms.
+    /// Work done for each request in service since the clock was last reset, ms.
     clock: f64,
     clock_at: Nanos,
-    /// Of each request in service, per nanosecond.
+    /// Work done for each request in service, ms per nanosecond.
     rate: f64,
     serving: BinaryHeap<Job>,
     waiting: VecDeque<(u32, f64)>,
-    /// Part of its speed that it has; 0 where it hangs.
-    vigour: f64,
-    /// Work sent lately, while cold.
-    sent: VecDeque<(Nanos, f64)>,
-    sent_sum: f64,
+    /// Part of its speed that it has at present; 0 while it hangs.
+    speed_part: f64,
+    /// Work received within the rule's span, while cold: time and ms, and the sum.
+    received: VecDeque<(Nanos, f64)>,
+    received_sum: f64,
     fallen: bool,
-    /// The completion that was last announced, and its stamp.
+    /// The completion that was last announced, and the stamp of that announcement.
     announced: Option<Nanos>,
     stamp: u32,
 }
 
 impl Server {
-    /// A server that has been up for long, or was born at a time.
+    /// A server that starts cold at `born`, or one that is warm if `born` is `None`.
     pub fn new(build: Build, rule: ColdRule, born: Option<Nanos>) -> Self {
         let mut server = Server {
             build,
@@ -181,26 +182,26 @@
             rate: 0.0,
             serving: BinaryHeap::new(),
             waiting: VecDeque::new(),
-            vigour: 1.0,
-            sent: VecDeque::new(),
-            sent_sum: 0.0,
+            speed_part: 1.0,
+            received: VecDeque::new(),
+            received_sum: 0.0,
             fallen: false,
             announced: None,
             stamp: 0,
         };
-        server.pace(born.unwrap_or(0));
+        server.update_rate(born.unwrap_or(0));
         server
     }
 
-    /// Part of its capacity that it has by its age.
+    /// Part of its capacity that it has at its age.
     pub fn warmth(&self, now: Nanos) -> f64 {
         let Some(born) = self.born else { return 1.0 };
         let part = (now.saturating_sub(born)) as f64 / (self.rule.warm_ms * MS as f64);
         self.rule.start + (1.0 - self.rule.start) * part.min(1.0)
     }
 
-    /// How far apart a warming server is to be paced anew; `None` once it is warm.
-    pub fn warming(&self, now: Nanos) -> Option<Nanos> {
+    /// Interval between two rate updates of a server that warms up; `None` once it is warm.
+    pub fn warm_step(&self, now: Nanos) -> Option<Nanos> {
         (self.warmth(now) < 1.0).then(|| nanos(self.rule.warm_ms / WARM_STEPS).max(1))
     }
 
@@ -209,14 +210,14 @@
         self.fallen
     }
 
-    /// Requests there.
+    /// Requests in service or waiting.
     pub fn held(&self) -> usize {
         self.serving.len() + self.waiting.len()
     }
 
-    /// What each request would get with so many in service at present, ms of work in a ms.
+    /// Work done for each request per ms, in ms, if `serving` requests were in service now.
     pub fn rate_with(&self, now: Nanos, serving: usize) -> f64 {
-        let speed = self.build.speed * self.vigour * self.warmth(now);
+        let speed = self.build.speed * self.speed_part * self.warmth(now);
         if self.build.cores == 0 || serving == 0 {
             return speed;
         }
@@ -226,9 +227,9 @@
         if over > 1.0 && self.build.thrash > 0.0 { shared * over.powf(-self.build.thrash) } else { shared }
     }
 
-    /// Takes a request of so much work, ms on a standard core.
+    /// Receives a request; `work` is in ms on a standard core.
     pub fn take(&mut self, now: Nanos, attempt: u32, work: f64) -> Taken {
-        if self.fallen || self.is_pushed(now, work) {
+        if self.fallen || self.is_overloaded(now, work) {
             self.fallen = true;
             return Taken::Falls;
         }
@@ -245,14 +246,14 @@
         }
         self.advance(now);
         self.serving.push(Job { end: self.clock + work.max(1e-9), attempt });
-        self.pace(now);
+        self.update_rate(now);
         Taken::In
     }
 
-    /// Takes out what is done by now.
+    /// Removes the requests that are complete by now and adds them to `out`.
     pub fn done(&mut self, now: Nanos, out: &mut Vec<u32>) {
         self.advance(now);
-        // A completion is announced for the first nanosecond at or after its end.
+        // A completion is announced for the first nanosecond at or after it.
         while let Some(job) = self.serving.peek().filter(|j| j.end <= self.clock + 1e-9) {
             self.clock = self.clock.max(job.end);
             out.push(job.attempt);
@@ -261,25 +262,25 @@
                 self.serving.push(Job { end: self.clock + work.max(1e-9), attempt });
             }
         }
-        self.pace(now);
+        self.update_rate(now);
     }
 
-    /// Its speed changes: 1 is its own, 0 hangs.
-    pub fn set_vigour(&mut self, now: Nanos, vigour: f64) {
+    /// Sets the part of its speed that it has: 1 is normal, 0 hangs.
+    pub fn set_vigour(&mut self, now: Nanos, part: f64) {
         self.advance(now);
-        self.vigour = vigour;
-        self.pace(now);
+        self.speed_part = part;
+        self.update_rate(now);
     }
 
-    /// Everything that it holds is gone; told in the order in which it would have ended.
+    /// Removes all requests and adds them to `out`: those in service in the order of completion, then those waiting.
     pub fn clear(&mut self, now: Nanos, out: &mut Vec<u32>) {
         self.advance(now);
         out.extend(std::mem::take(&mut self.serving).into_sorted_vec().iter().rev().map(|j| j.attempt));
         out.extend(self.waiting.drain(..).map(|w| w.0));
-        self.pace(now);
+        self.update_rate(now);
     }
 
-    /// The next completion, with the stamp to hold against [`Server::stamp`], if it is not announced yet.
+    /// The next completion, with a stamp to compare with [`Server::stamp`], unless it was already announced.
     pub fn announce(&mut self, now: Nanos) -> Option<(Nanos, u32)> {
         let next = match self.serving.peek() {
             Some(job) if self.rate > 0.0 => {
@@ -296,48 +297,50 @@
         next.map(|at| (at, self.stamp))
     }
 
-    /// The stamp of the completion announced last; one that bears an older stamp has been overtaken.
+    /// The stamp of the last announcement; one with an older stamp is outdated.
     pub fn stamp(&self) -> u32 {
         self.stamp
     }
 
-    /// The announced completion is here.
+    /// Notes that the announced completion is due.
     pub fn heard(&mut self) {
         self.announced = None;
     }
 
+    /// Advances the clock to now.
     fn advance(&mut self, now: Nanos) {
         self.clock += (now - self.clock_at) as f64 * self.rate;
         self.clock_at = now;
         if self.serving.is_empty() {
-            self.clock = 0.0; // the clock starts anew, so that years don't wear its digits away
+            self.clock = 0.0; // restart the clock when idle, so that it keeps its precision over long runs
         }
     }
 
-    /// Sets the rate by what is in service. Cold servers are paced anew as they warm.
-    pub fn pace(&mut self, now: Nanos) {
+    /// Updates the rate by the requests in service. A cold server needs this again as it warms up.
+    pub fn update_rate(&mut self, now: Nanos) {
         if now > self.clock_at {
             self.advance(now);
         }
         self.rate = self.rate_with(now, self.serving.len()) / MS as f64;
     }
 
-    fn is_pushed(&mut self, now: Nanos, work: f64) -> bool {
+    /// Whether a cold server falls over, by the work received within the rule's span.
+    fn is_overloaded(&mut self, now: Nanos, work: f64) -> bool {
         let warmth = self.warmth(now);
         if warmth >= 1.0 || self.build.cores == 0 {
-            self.sent.clear();
-            self.sent_sum = 0.0;
+            self.received.clear();
+            self.received_sum = 0.0;
             return false;
         }
-        self.sent.push_back((now, work));
-        self.sent_sum += work;
+        self.received.push_back((now, work));
+        self.received_sum += work;
         let span = nanos(self.rule.span_ms);
-        while let Some(&(_, old)) = self.sent.front().filter(|(at, _)| at + span < now) {
-            self.sent.pop_front();
-            self.sent_sum -= old;
+        while let Some(&(_, old)) = self.received.front().filter(|(at, _)| at + span < now) {
+            self.received.pop_front();
+            self.received_sum -= old;
         }
         let capacity = f64::from(self.build.cores) * self.build.speed * warmth;
-        self.sent_sum > self.rule.multiple * capacity * self.rule.span_ms + CHANCE * work
+        self.received_sum > self.rule.multiple * capacity * self.rule.span_ms + OVERLOAD_MARGIN * work
     }
 }
 
@@ -362,7 +365,7 @@
     }
 
     #[test]
-    fn a_queue_works_in_turn_and_ends() {
+    fn a_queue_serves_in_order_and_rejects_when_full() {
         let mut s = server(Build { cores: 2, queue: 1, speed: 2.0, ..Build::default() });
         let taken: Vec<Taken> = (0..4).map(|a| s.take(0, a, 20.0)).collect();
         assert_eq!(taken, [Taken::In, Taken::In, Taken::In, Taken::Full]);
@@ -370,7 +373,7 @@
     }
 
     #[test]
-    fn sharing_slows_all_alike_and_thrashing_more_than_that() {
+    fn sharing_slows_all_requests_alike_and_thrashing_slows_them_more() {
         let shared = Build { cores: 1, discipline: Discipline::Shared, ..Build::default() };
         let mut s = server(shared);
         (0..2).for_each(|a| assert_eq!(s.take(0, a, 10.0 * f64::from(a + 1)), Taken::In));
@@ -383,7 +386,7 @@
     }
 
     #[test]
-    fn a_hang_keeps_what_is_there_and_a_return_goes_on_with_it() {
+    fn a_hung_server_keeps_its_requests_and_resumes_them() {
         let mut s = server(Build { cores: 1, ..Build::default() });
         assert_eq!(s.take(0, 7, 10.0), Taken::In);
         s.set_vigour(4 * MS, 0.0);
@@ -393,7 +396,7 @@
     }
 
     #[test]
-    fn a_cold_one_is_slow_and_falls_over_when_pushed() {
+    fn a_cold_server_is_slow_and_falls_over_when_overloaded() {
         let rule = ColdRule { start: 0.3, warm_ms: 1000.0, multiple: 2.5, span_ms: 500.0 };
         let build = Build { cores: 2, queue: u32::MAX, ..Build::default() };
         let mut s = Server::new(build, rule, Some(0));
--- a/crates/sandgap-lab/src/run.rs
+++ b/crates/sandgap-lab/src/run.rs
@@ -1,5 +1,5 @@
-//! Experiments: every point of the sweeps under every policy, with a seed of its own for each repetition. Many
-//! runs go side by side, each on one thread; what is written depends on the file alone.
+//! Runs an experiment: every point of its sweeps under every policy, with a separate seed for each repetition. Runs
+//! are parallel, each on one thread; the results depend on the file alone.
 
 use std::path::Path;
 
@@ -15,13 +15,13 @@
 use crate::rivals::PolicyKind;
 use crate::stats::{Estimate, independent};
 
-/// What is measured of each run, in this order: its name and what a reader is to know of it.
+/// The figures of each run, in this order: name and description.
 pub const MEASURES: [(&str, &str); 12] = [
     ("goodput", "worth answered within its aim over worth asked for"),
     ("served", "part of the tasks that got an answer"),
     ("in_time", "part of the tasks answered within their aim"),
     ("refused", "part of the tasks refused for good"),
-    ("failed", "part of the tasks that failed for good, lost and untaken ones included"),
+    ("failed", "part of the tasks that failed for good, lost ones and those that no proxy accepted included"),
     ("mean_ms", "mean time of served tasks, from the first try on"),
     ("p50_ms", "median of it"),
     ("p99_ms", "99th percentile of it"),
@@ -31,73 +31,73 @@
     ("worst_class", "goodput of the worst-served class"),
 ];
 
-/// One run's figures.
+/// The results of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
     /// Its seed.
     pub seed: u64,
     /// In the order of [`MEASURES`].
     pub figures: Vec<f64>,
-    /// Broken rules.
+    /// Broken rules, and violations that the driver core reported.
     pub broken: usize,
-    /// Why the rules could not be checked, if so.
+    /// Whether some rules could not be checked completely.
     pub incomplete: bool,
-    /// Cold servers pushed over.
+    /// Cold servers that fell over from overload.
     pub fallen: u64,
 }
 
 /// The runs of one point under one policy.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Cell {
-    /// What the sweeps set.
+    /// The keys that the sweeps set, with their values.
     pub set: Vec<(String, String)>,
-    /// Who decided.
+    /// The policy that decided.
     pub policy: PolicyKind,
-    /// One a repetition.
+    /// One per repetition.
     pub runs: Vec<Run>,
     /// Estimates over the runs, in the order of [`MEASURES`].
     pub estimates: Vec<Estimate>,
-    /// Goodput over time, the mean of all runs: seconds from the start of each run, and the part.
+    /// Goodput over time, over all runs: seconds from the start of the run, and goodput from 0 to 1.
     pub course: Vec<(f64, f64)>,
 }
 
-/// All of an experiment.
+/// The results of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Results {
-    /// Its name.
+    /// The experiment's name.
     pub name: String,
-    /// What it asks.
+    /// The question that it answers.
     pub about: String,
-    /// How the intervals were made.
+    /// How the confidence intervals were computed.
     pub method: String,
-    /// In the order of the sweeps, then of the policies.
+    /// One per point and policy, in the order of the sweeps, then of the policies.
     pub cells: Vec<Cell>,
 }
 
-/// A run that could not be played.
+/// A run that was aborted.
 #[derive(Debug, thiserror::Error)]
 #[error("{policy:?} with seed {seed}{at}: {why}")]
-pub struct Unplayed {
+pub struct RunFailed {
     policy: PolicyKind,
     seed: u64,
     at: String,
     why: RunError,
 }
 
-/// What a decision cost, by point and policy: wall time, so no part of a result.
+/// What a decision costs, by point and policy: wall time, so no part of the results.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cost {
-    /// Which point, in words.
+    /// The point, as text.
     pub point: String,
-    /// Who decided.
+    /// The policy that decided.
     pub policy: PolicyKind,
-    /// Mean nanoseconds a decision.
+    /// Mean time of a decision, ns.
     pub decision_ns: f64,
-    /// Decisions.
+    /// Number of decisions.
     pub decisions: u64,
 }
 
-/// The figures of an outcome.
+/// The figures of an outcome, in the order of [`MEASURES`].
 pub fn figures(o: &Outcome) -> Vec<f64> {
     let (m, a) = (&o.measures, &o.measures.all);
     let at = |q| m.latencies.quantile_ms(q).unwrap_or(0.0);
@@ -117,7 +117,7 @@
     ]
 }
 
-/// A point's sweeps in words.
+/// What a point's sweeps set, as text.
 pub fn words(set: &[(String, String)]) -> String {
     if set.is_empty() {
         return "all".into();
@@ -125,13 +125,14 @@
     set.iter().map(|(k, v)| format!("{k} = {v}")).collect::<Vec<_>>().join(", ")
 }
 
-/// Plays an experiment. `folder` is where a recorded load's name starts from; `bar` shows how far it is.
+/// Runs an experiment. The path of a recorded load is relative to `folder`; `timed` measures the wall time of decisions;
+/// `bar` shows a progress bar.
 ///
 /// # Errors
-/// The first run, in the order of the file, that could not be played.
+/// The first run, in the order of the file, that was aborted.
 pub fn play(
     points: &[Point], folder: &Path, timed: bool, bar: bool,
-) -> Result<(Results, Vec<Cost>), Unplayed> {
+) -> Result<(Results, Vec<Cost>), RunFailed> {
     let mut jobs = Vec::new();
     for (i, p) in points.iter().enumerate() {
         for &policy in &p.experiment.policies {
@@ -143,24 +144,24 @@
     progress.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     let one = |&(i, policy, seed): &(usize, PolicyKind, u64)| {
         let p = &points[i];
-        let end =
+        let result =
             Plan::draw(&p.experiment, policy, seed, folder).and_then(|plan| fleet::run(&plan, timed, None));
         progress.inc(1);
-        end.map_err(|why| Unplayed { policy, seed, at: format!(" at {}", words(&p.set)), why })
+        result.map_err(|why| RunFailed { policy, seed, at: format!(" at {}", words(&p.set)), why })
     };
-    // In order, whichever thread was first.
-    let ends: Vec<Result<Outcome, Unplayed>> = jobs.par_iter().map(one).collect();
+    // In the order of the jobs, whichever thread finished first.
+    let finished: Vec<Result<Outcome, RunFailed>> = jobs.par_iter().map(one).collect();
     progress.finish_and_clear();
-    let outcomes = ends.into_iter().collect::<Result<Vec<Outcome>, Unplayed>>()?;
+    let outcomes = finished.into_iter().collect::<Result<Vec<Outcome>, RunFailed>>()?;
     let mut cells = Vec::new();
     let mut costs = Vec::new();
     let mut rest = outcomes.iter().zip(&jobs);
     for p in points {
         for &policy in &p.experiment.policies {
-            let mine: Vec<(&Outcome, u64)> =
+            let group: Vec<(&Outcome, u64)> =
                 rest.by_ref().take(p.experiment.repetitions as usize).map(|(o, j)| (o, j.2)).collect();
-            cells.push(cell(p, policy, &mine));
-            let spent = mine.iter().filter_map(|(o, _)| o.decided);
+            cells.push(cell(p, policy, &group));
+            let spent = group.iter().filter_map(|(o, _)| o.decided);
             let (sum, decisions) = spent.fold((0.0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
             let decision_ns = sum * 1e9 / decisions.max(1) as f64;
             costs.push(Cost { point: words(&p.set), policy, decision_ns, decisions });
@@ -180,6 +181,7 @@
     Ok((results, costs))
 }
 
+/// The cell of a point and policy, from its outcomes and their seeds.
 fn cell(point: &Point, policy: PolicyKind, outcomes: &[(&Outcome, u64)]) -> Cell {
     let runs: Vec<Run> = outcomes
         .iter()
@@ -196,12 +198,12 @@
     Cell { set: point.set.clone(), policy, runs, estimates, course: course(outcomes) }
 }
 
-/// Broken rules of a verdict.
+/// The number of broken rules of a verdict.
 pub fn broken(verdict: &Verdict) -> usize {
     verdict.counts.values().sum()
 }
 
-/// Goodput over time, all runs together.
+/// Goodput over time, over all runs.
 fn course(outcomes: &[(&Outcome, u64)]) -> Vec<(f64, f64)> {
     let Some((first, _)) = outcomes.first() else { return Vec::new() };
     let seconds = |w: Nanos| w as f64 / SECOND as f64;
