--- a/crates/sandgap-lab/src/defects.rs
+++ b/crates/sandgap-lab/src/defects.rs
@@ -1,31 +1,31 @@
-//! Drivers that break one rule each, to show that the checks see it. They sit where the daemon's sockets would:
-//! the core under them is whole, and what they do it never hears of.
+//! Defects that make a simulated driver break one rule each, to show that the checker detects it. They act in place
+//! of the daemon's sockets: the core is unchanged and does not learn what they do.
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with a driver.
+/// A defect of a driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Defect {
-    /// Sends again whatever failed, unsafe requests too.
+    /// Resends every failed attempt, even of unsafe requests.
     Resends,
-    /// Goes on sending to servers that drain.
+    /// Keeps sending to servers that drain.
     IgnoresDrains,
     /// Drops the answer of one request in fifty.
     DropsAnswers,
-    /// Refuses what may have run.
+    /// Reports failed requests as refused, although they may have run.
     RefusesRan,
-    /// Holds one answer in fifty back past its deadline.
+    /// Delays one answer in fifty past its deadline.
     AnswersLate,
-    /// Makes one answer in fifty up.
+    /// Fabricates the answer of one request in fifty.
     Forges,
     /// Sends everything to the newest server.
     PushesCold,
-    /// Sends one request in fifty once more after its answer.
+    /// Resends one request in fifty after its answer.
     SendsAfter,
 }
 
-/// All of them.
+/// All defects.
 pub const DEFECTS: [Defect; 8] = [
     Defect::Resends,
     Defect::IgnoresDrains,
@@ -37,5 +37,5 @@
     Defect::SendsAfter,
 ];
 
-/// One request in so many meets a defect that would otherwise hide all others.
+/// One request in this many is affected by a defect that would mask all others if it affected every request.
 pub const SOME: u32 = 50;
--- a/crates/sandgap-lab/src/file.rs
+++ b/crates/sandgap-lab/src/file.rs
@@ -434,7 +434,8 @@
             Err(found) => found,
         };
         problems.extend(found.into_iter().map(|(key, what)| {
-            let about = if set.is_empty() { String::new() } else { format!(" (with {})", set_text(&set)) };
+            let about =
+                if set.is_empty() { String::new() } else { format!(" (with {})", settings_text(&set)) };
             problem(&key, format!("{key}: {what}{about}"))
         }));
         if problems.len() >= PROBLEMS {
@@ -458,7 +459,7 @@
     }
 }
 
-fn set_text(set: &[(String, Value)]) -> String {
+fn settings_text(set: &[(String, Value)]) -> String {
     set.iter().map(|(k, v)| format!("{k} = {}", value_text(v))).collect::<Vec<_>>().join(", ")
 }
 
--- a/crates/sandgap-lab/src/lib.rs
+++ b/crates/sandgap-lab/src/lib.rs
@@ -1,8 +1,8 @@
-//! The laboratory: whole fleets in virtual time, with the real decision module and the daemon's own driver core
-//! inside, rivals on the same model, the four rules on every run, experiments and reports.
+//! A simulator of whole fleets in virtual time. It runs the real decision library and the daemon's own driver core,
+//! compares them with rival policies on the same model, checks the four rules on every run, and reports experiments.
 //!
-//! The same file and seed give the same output, bit for bit: no clock, thread or hash order is part of a result.
-//! Runs of several seeds go side by side; one run is one thread.
+//! The same file and seed give the same output, bit for bit: no result depends on a clock, a thread or a hash order.
+//! Runs of several seeds are parallel; each run uses one thread.
 
 pub mod agree;
 pub mod calendar;
--- a/crates/sandgap-lab/src/skew.rs
+++ b/crates/sandgap-lab/src/skew.rs
@@ -1,4 +1,4 @@
-//! Clocks of processes: each begins anywhere and runs at a rate of its own.
+//! Clocks of processes, each with an offset and a rate of its own.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 
 use crate::calendar::Nanos;
 
-/// One process's clock.
+/// A process's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Skewed {
-    /// Of its time to true time.
+    /// Its rate: local time per true time.
     pub rate: f64,
-    /// Where it began, ns.
+    /// Its local time at true time 0, ns.
     pub offset: Nanos,
 }
 
 impl Skewed {
-    /// What it shows at a true time.
+    /// The local time at a true time.
     pub fn local(&self, now: Nanos) -> Time {
         Duration::from_nanos(self.offset + (now as f64 * self.rate) as Nanos)
     }
 
-    /// The first true time at which it shows a local one.
+    /// The first true time at which a local time is reached.
     pub fn shown(&self, local: Time) -> Nanos {
         let span = (local.as_nanos() as u64).saturating_sub(self.offset);
         (span as f64 / self.rate).ceil() as Nanos
--- a/crates/sandgap-lab/src/streams.rs
+++ b/crates/sandgap-lab/src/streams.rs
@@ -1,17 +1,17 @@
-//! One stream of chance for each component, all from one seed. A component that draws once more changes nothing
-//! for any other one, so that two variants of a fleet meet the same load and the same faults.
+//! One random stream per component, all derived from one seed. What one component draws changes no other component's
+//! draws, so two variants of a fleet see the same load and the same faults.
 
 use rand::SeedableRng;
 pub use rand_pcg::Pcg64Mcg as Stream;
 
-/// The stream of a component; `index` tells several of a kind apart.
+/// The random stream of a component; `index` distinguishes several of a kind.
 pub fn stream(seed: u64, component: &str, index: u64) -> Stream {
     let name = wharfhitch::settings::number_of(component);
-    Stream::seed_from_u64(spread(seed ^ spread(name ^ spread(index))))
+    Stream::seed_from_u64(mix(seed ^ mix(name ^ mix(index))))
 }
 
-/// Spreads the bits of a number (the finisher of splitmix64).
-fn spread(x: u64) -> u64 {
+/// Mixes the bits of a number (the finalizer of splitmix64).
+fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -25,7 +25,7 @@
     use super::*;
 
     #[test]
-    fn a_stream_depends_on_seed_name_and_index_alone() {
+    fn a_stream_depends_only_on_seed_name_and_index() {
         let first = |seed, name, index| stream(seed, name, index).next_u64();
         assert_eq!(first(1, "arrivals", 0), first(1, "arrivals", 0));
         let all =
--- a/crates/sandgap-lab/tests/fleet.rs
+++ b/crates/sandgap-lab/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as a whole: the same output from the same seed, what must add up, and the cases that break models.
+//! Tests of whole simulated fleets: reproducible output, accounting that adds up, and extreme cases.
 
 use std::path::Path;
 
@@ -23,14 +23,14 @@
 ];
 
 fn plan(e: &Experiment, policy: PolicyKind, seed: u64) -> Plan {
-    Plan::draw(e, policy, seed, Path::new(".")).expect("it can be drawn")
+    Plan::draw(e, policy, seed, Path::new(".")).expect("the plan can be drawn")
 }
 
 fn once(e: &Experiment, policy: PolicyKind, seed: u64) -> Outcome {
-    run(&plan(e, policy, seed), false, None).expect("it can be played")
+    run(&plan(e, policy, seed), false, None).expect("the run completes")
 }
 
-/// A small fleet; `more` is added to its file, `head` to its beginning.
+/// A small fleet; `head` is inserted after the first keys of its file, `more` is appended.
 fn small(head: &str, more: &str) -> Experiment {
     let text = format!(
         "name = \"small\"\nseconds = 5\nwarm_seconds = 1\nrepetitions = 3\n{head}\n[[server]]\ncount = 4\n\
@@ -41,42 +41,42 @@
 }
 
 #[test]
-fn a_seed_tells_the_same_story_each_time_and_another_one_another() {
+fn a_seed_gives_the_same_trace_each_time_and_another_seed_gives_another() {
     let e = mixed();
     for policy in ALL {
-        let tell = |seed| story(&plan(&e, policy, seed), None).expect("it can be played");
-        assert!(tell(5) == tell(5), "{policy:?} with seed 5 told two stories");
-        assert!(tell(5) != tell(6));
+        let trace = |seed| story(&plan(&e, policy, seed), None).expect("the run completes");
+        assert!(trace(5) == trace(5), "{policy:?} with seed 5 gave two traces");
+        assert!(trace(5) != trace(6));
     }
 }
 
 #[test]
-fn results_do_not_depend_on_how_many_threads_there_are() {
+fn results_do_not_depend_on_the_number_of_threads() {
     let sweep = "[load]\nkind = \"poisson\"\nrate = 250\n[[sweep]]\nkey = \"load.rate\"\nvalues = [100.0, 250.0, 600.0]\n";
     let text = format!(
         "name = \"t\"\nseconds = 3\nwarm_seconds = 0\nrepetitions = 4\npolicies = [\"sandgap\", \"oracle\"]\n[[server]]\n\
          count = 4\n[[class]]\nname = \"p\"\neffect = \"unsafe\"\naim_ms = 300\ndeadline_ms = 900\n\
          work = {{ law = \"exponential\", mean_ms = 20 }}\n{sweep}"
     );
-    let points = parse(&text).expect("it is good");
+    let points = parse(&text).expect("a valid file");
     let written = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
         let (results, _) = pool.install(|| play(&points, Path::new("."), false, false)).expect("played");
         let folder = std::env::temp_dir().join(format!("sandgap-lab-{}-{threads}", std::process::id()));
         report::write(&results, None, &folder).expect("written");
-        let read = |f: &str| std::fs::read(folder.join(f)).expect("it was written");
+        let read = |f: &str| std::fs::read(folder.join(f)).expect("the file was written");
         let all = ["runs.csv", "summary.csv", "results.json", "report.html"].map(read);
         let _ = std::fs::remove_dir_all(&folder);
         all
     };
     let one = written(1);
-    assert!(one == written(4), "what is written depends on the number of threads");
+    assert!(one == written(4), "the written files depend on the number of threads");
     let page = String::from_utf8_lossy(&one[3]).into_owned();
     assert!(page.contains("<svg") && page.contains("<table>") && !page.contains("http://localhost"));
 }
 
 #[test]
-fn every_task_has_one_end_and_rules_hold_whoever_decides() {
+fn every_task_ends_once_and_the_rules_hold_under_every_policy() {
     for policy in ALL {
         for seed in 0..6 {
             let o = once(&mixed(), policy, seed);
@@ -84,7 +84,7 @@
             let ends = a.served + a.refused + a.failed + a.left + a.lost + a.untaken;
             assert_eq!(a.asked, ends, "{policy:?} {seed}");
             assert!(o.odd.is_empty() && o.verdict.incomplete.is_empty(), "{policy:?} {seed}: {}", o.verdict);
-            // Rivals know nothing of cold servers; all else holds for them too, as the core sees to it.
+            // Rivals don't know about cold servers; the core enforces all other rules for them too.
             let cold = usize::try_from(o.measures.fallen).expect("few");
             assert!(broken(&o.verdict) <= cold, "{policy:?} {seed}: {}", o.verdict);
             assert!(policy != PolicyKind::Sandgap || cold == 0);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_queue_of_the_fleet_waits_as_erlang_says() {
+fn the_mean_delay_of_a_queue_agrees_with_erlang_c() {
     let head = "policies = [\"random\"]";
     let mut e = small(head, "[load]\nkind = \"poisson\"\nrate = 160\n");
     e.servers[0].count = 1;
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_fleet_that_never_drains_comes_to_its_end_and_says_what_was_lost() {
+fn an_overloaded_run_ends_and_refuses_most_requests_without_losing_any() {
     let e = small("", "[load]\nkind = \"poisson\"\nrate = 4000\n");
     let o = once(&e, PolicyKind::Sandgap, 1);
     let a = &o.measures.all;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_thousand_requests_of_one_instant_are_all_answered() {
+fn a_thousand_simultaneous_requests_all_end_and_most_are_served() {
     let e = small("", "[load]\nkind = \"replay\"\nfile = \"none.csv\"\n");
     let mut p = Plan {
         experiment: e.clone(),
@@ -134,7 +134,7 @@
         };
         1000
     ];
-    let o = run(&p, false, None).expect("it can be played");
+    let o = run(&p, false, None).expect("the run completes");
     assert_eq!((o.measures.all.asked, broken(&o.verdict)), (1000, 0));
     assert!(o.measures.all.served > 900, "{:?}", o.measures.all);
     p.recorded[0].class = Some("pag".into());
@@ -142,16 +142,16 @@
 }
 
 #[test]
-fn a_closed_loop_waits_for_its_answers() {
+fn users_of_a_closed_loop_wait_for_their_answers() {
     let load = "[load]\nkind = \"closed\"\nusers = 4\nthink = { law = \"constant\", mean_ms = 30 }\n";
     let o = once(&small("", load), PolicyKind::Sandgap, 1);
-    // Four users, each at most every 30 ms and in the mean about every 50.
+    // Four users, each of whom sends at most one request every 30 ms and about one every 50 ms on average.
     let asked = o.measures.all.asked as f64 / 5.0;
     assert!((60.0..100.0).contains(&asked), "{asked} a second");
 }
 
 #[test]
-fn what_one_part_draws_changes_no_other_parts_draws() {
+fn draws_of_one_component_do_not_change_those_of_another() {
     let load = "[load]\nkind = \"poisson\"\nrate = 100\n";
     let asked = |more: &str, policy| {
         let o = once(&small("", &format!("{load}{more}")), policy, 4);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn clients_that_retry_badly_ask_more_than_those_that_wait() {
+fn clients_that_retry_at_once_send_more_requests_than_those_that_wait() {
     let faults = "[[fault]]\nkind = \"hang\"\nat_s = 1\nfor_s = 3\npart = 1.0\n";
     let requests = |retry: &str| {
         let more =
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn equal_results_are_not_told_apart_and_different_ones_are() {
+fn compare_reports_differences_only_between_different_results() {
     let of = |rate: f64| {
         let e = small("policies = [\"sandgap\"]", &format!("[load]\nkind = \"poisson\"\nrate = {rate:?}\n"));
         let point = sandgap_lab::file::Point { set: Vec::new(), experiment: e };
@@ -197,10 +197,10 @@
 }
 
 #[test]
-fn the_experiments_that_ship_are_in_order() {
+fn the_experiment_files_in_the_repository_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments");
     let mut count = 0;
-    for file in std::fs::read_dir(folder).expect("it is there").flatten() {
+    for file in std::fs::read_dir(folder).expect("the folder of experiments exists").flatten() {
         if file.path().extension().is_some_and(|e| e == "toml") {
             count += 1;
             sandgap_lab::file::read(&file.path()).unwrap_or_else(|e| panic!("{e}"));
