--- a/crates/sandgap-lab/src/file.rs
+++ b/crates/sandgap-lab/src/file.rs
@@ -173,7 +173,7 @@
     /// A server's size.
     #[default]
     Size,
-    /// Nothing; they are ignored.
+    /// Nothing: there is no usable rating.
     Silent,
 }
 
