--- a/crates/sandgap-rig/src/fleet/cost.rs
+++ b/crates/sandgap-rig/src/fleet/cost.rs
@@ -1,5 +1,5 @@
-//! What agreed rules cost: the processor time of one proxy for a request, with a fleet,
-//! without one, and of an earlier build, in turn.
+//! What agreement on rules costs a proxy: its processor time per request with a fleet, without one, and with an earlier
+//! build, measured in alternation.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,22 +16,22 @@
 use crate::run::{Folder, RunError};
 use crate::world::Addresses;
 
-/// Connections on which the load comes; each waits for its answer before it asks again.
+/// Connections that carry the load; each waits for the answer to a request before it sends the next.
 const CONNECTIONS: usize = 8;
-/// How long it is left without requests.
+/// How long the proxies are measured without requests.
 const IDLE: Duration = Duration::from_secs(2);
-/// Before anything is measured: leases, lists.
-const WARM: Duration = Duration::from_secs(2);
-/// One proxy's part of a turn.
+/// Wait before the first measurement, in which proxies obtain leases and lists.
+const WARM_UP: Duration = Duration::from_secs(2);
+/// The length of one proxy's slice of a turn.
 const SLICE: Duration = Duration::from_millis(250);
-/// After it.
-const REST: Duration = Duration::from_millis(10);
-/// Turns that are not counted: connections come up, speeds are learned.
-const WARM_TURNS: usize = 4;
+/// Wait after a slice, for the work that its last answers cause.
+const SLICE_PAUSE: Duration = Duration::from_millis(10);
+/// Turns that are not counted, in which connections are opened and backend speeds are learned.
+const WARM_UP_TURNS: usize = 4;
 
-/// What the measured proxy is.
+/// The variants of the measured proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum Variant {
     /// An earlier build, without a fleet.
     Before,
     /// This build, without a fleet.
@@ -40,73 +40,74 @@
     On,
 }
 
-/// What one slice showed.
+/// The measurements of one slice.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Slice {
-    /// Processor time a request, µs.
-    pub each_us: f64,
+    /// Processor time per request, µs.
+    pub cpu_us_per_request: f64,
     /// The latency that clients saw: the median and the 99th percentile, µs.
     pub latency_us: (f64, f64),
 }
 
-/// Slices of the same load, one after the other.
+/// One slice of each variant under the same load, one after the other.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Turn {
-    /// An earlier build's, where one is given.
+    /// The earlier build, if one is given.
     pub before: Option<Slice>,
-    /// Without a fleet.
+    /// This build without a fleet.
     pub off: Slice,
-    /// With one.
+    /// This build in a fleet.
     pub on: Slice,
 }
 
 impl Turn {
-    /// Processor time with a fleet over that without.
+    /// The ratio of processor time with a fleet to that without.
     pub fn on_over_off(&self) -> f64 {
-        self.on.each_us / self.off.each_us
+        self.on.cpu_us_per_request / self.off.cpu_us_per_request
     }
 
-    /// Processor time of this build without a fleet over the earlier build's.
+    /// The ratio of this build's processor time without a fleet to the earlier build's.
     pub fn off_over_before(&self) -> Option<f64> {
-        self.before.map(|before| self.off.each_us / before.each_us)
+        self.before.map(|before| self.off.cpu_us_per_request / before.cpu_us_per_request)
     }
 }
 
-/// What was measured.
+/// The results of a measurement.
 pub struct Cost {
-    /// Processor time a second without any request, µs: without a fleet, and with one.
+    /// Processor time per second without requests, µs: without a fleet, and in one.
     pub idle_us: (f64, f64),
-    /// All turns.
+    /// All turns that count.
     pub turns: Vec<Turn>,
 }
 
-/// What is measured, and how.
+/// The setup of a measurement.
 pub struct Load<'a> {
-    /// The program.
+    /// The program to measure.
     pub program: &'a Path,
-    /// An earlier build of it.
+    /// An earlier build of the program.
     pub before: Option<&'a Path>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Turns: a slice of each.
+    /// Number of turns; each has one slice of every variant.
     pub turns: usize,
 }
 
-/// Measures. All proxies run beside each other, the three voters among them, and take turns in slices so short that a
-/// machine that grows slower or faster does so for all of them.
+/// Measures all variants. The proxies and the three voters run at the same time, and the proxies are loaded in
+/// alternating slices, so short that a change in the machine's speed affects all of them.
 ///
 /// # Errors
-/// Whatever makes a figure impossible.
+/// Whatever prevents the measurement.
 pub fn measure(load: &Load<'_>) -> Result<Cost, RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let folder = Folder::new(&format!("cost-{}", std::process::id()))?;
-    LocalSet::new().block_on(&runtime, run(load, &folder))
+    LocalSet::new().block_on(&runtime, measure_variants(load, &folder))
 }
 
-const KINDS: [Kind; 3] = [Kind::On, Kind::Off, Kind::Before];
+/// The variants, in the order of their proxies behind the voters.
+const VARIANTS: [Variant; 3] = [Variant::On, Variant::Off, Variant::Before];
 
-async fn run(load: &Load<'_>, folder: &Folder) -> Result<Cost, RunError> {
-    let size = Size { voters: 3, observers: KINDS.len(), ..Size::default() };
+async fn measure_variants(load: &Load<'_>, folder: &Folder) -> Result<Cost, RunError> {
+    let size = Size { voters: 3, observers: VARIANTS.len(), ..Size::default() };
     let all = size.voters + size.observers;
     let addresses = Addresses::default();
     let draw = |n: usize| (0..n).map(|_| addresses.draw()).collect::<std::io::Result<Vec<_>>>();
@@ -120,84 +121,84 @@
     for voter in 0..size.voters {
         site.start(voter)?;
     }
-    let path = site.publication(2)?;
-    let done = site.hand(&["publish", &path.to_string_lossy()]).output().await?;
+    let path = site.write_publication(2)?;
+    let done = site.cli(&["publish", &path.to_string_lossy()]).output().await?;
     if !done.status.success() {
         return Err(RunError::Endless("the first publication", Duration::from_secs(15)));
     }
     let mut proxies = Vec::new();
-    for (n, kind) in (size.voters..).zip(KINDS) {
-        match (kind, load.before) {
-            (Kind::On, _) => site.start(n)?,
-            (Kind::Off, _) => {
+    for (n, variant) in (size.voters..).zip(VARIANTS) {
+        match (variant, load.before) {
+            (Variant::On, _) => site.start(n)?,
+            (Variant::Off, _) => {
                 site.without_fleet(n)?;
                 site.start(n)?;
             }
-            (Kind::Before, Some(program)) => {
+            (Variant::Before, Some(program)) => {
                 site.without_fleet(n)?;
                 site.start_program(program, n)?;
             }
-            (Kind::Before, None) => continue,
+            (Variant::Before, None) => continue,
         }
-        proxies.push((n, kind));
+        proxies.push((n, variant));
     }
     let mut loads = Vec::new();
-    for (n, kind) in proxies {
+    for (n, variant) in proxies {
         while TcpStream::connect(site.listen[n]).await.is_err() {
             sleep(Duration::from_millis(10)).await;
         }
-        loads.push((n, kind));
+        loads.push((n, variant));
     }
-    sleep(WARM).await;
+    sleep(WARM_UP).await;
     let used = |n: usize| site.cpu_us(n);
     let before = (used(size.voters + 1), used(size.voters));
     sleep(IDLE).await;
     let idle = |now: f64, before: f64| (now - before) / IDLE.as_secs_f64();
     let idle_us = (idle(used(size.voters + 1), before.0), idle(used(size.voters), before.1));
     let mut turns = Vec::new();
-    for n in 0..WARM_TURNS + load.turns {
+    for n in 0..WARM_UP_TURNS + load.turns {
         let mut turn = Turn::default();
-        // Which comes first changes, so that no one always follows the same other.
+        // The order changes, so that no variant always follows the same other one.
         loads.rotate_left(1);
         if n % 3 == 0 {
             loads.swap(0, 1);
         }
-        for (proxy, kind) in &loads {
+        for (proxy, variant) in &loads {
             let slice = slice(load.rate, &site, *proxy, &clock, n).await?;
-            match kind {
-                Kind::Before => turn.before = Some(slice),
-                Kind::Off => turn.off = slice,
-                Kind::On => turn.on = slice,
+            match variant {
+                Variant::Before => turn.before = Some(slice),
+                Variant::Off => turn.off = slice,
+                Variant::On => turn.on = slice,
             }
         }
-        if n >= WARM_TURNS {
+        if n >= WARM_UP_TURNS {
             turns.push(turn);
         }
     }
     Ok(Cost { idle_us, turns })
 }
 
-/// Asks one proxy at the rate for a slice's time, on new connections: it would close them in between.
+/// Loads one proxy at the rate for one slice, on new connections: the proxy would close idle ones between its slices.
 async fn slice(rate: f64, site: &Site, proxy: usize, clock: &Clock, turn: usize) -> Result<Slice, RunError> {
     let before = site.cpu_us(proxy);
     let each = rate / CONNECTIONS as f64;
     let mut tasks = Vec::new();
     for lane in 0..CONNECTIONS {
         let conn = Conn::new(TcpStream::connect(site.listen[proxy]).await?);
-        tasks.push(spawn_local(ask(conn, format!("{proxy}-{lane}-{turn}"), each, clock.clone())));
+        tasks.push(spawn_local(send_requests(conn, format!("{proxy}-{lane}-{turn}"), each, clock.clone())));
     }
     let mut all = Vec::new();
     for task in tasks {
         all.extend(task.await.unwrap_or_default());
     }
-    sleep(REST).await; // what was set off by the last answers
+    sleep(SLICE_PAUSE).await; // work caused by the last answers
     let used = site.cpu_us(proxy) - before;
     if all.is_empty() {
-        return Err(RunError::Endless("a slice without answers", SLICE));
+        return Err(RunError::Endless("waiting for answers in a slice", SLICE));
     }
     all.sort_by(f64::total_cmp);
     let at = |part: f64| all[(all.len().saturating_sub(1) as f64 * part) as usize];
-    Ok(Slice { each_us: used / all.len() as f64, latency_us: (at(0.5), at(0.99)) })
+    Ok(Slice { cpu_us_per_request: used / all.len() as f64, latency_us: (at(0.5), at(0.99)) })
 }
 
 async fn serve(listener: TcpListener, clock: Clock) {
@@ -214,8 +215,8 @@
     }
 }
 
-/// Asks at a rate on one connection for a slice's time; returns the latencies of what was answered 200, µs.
-async fn ask(mut conn: Conn, name: String, rate: f64, clock: Clock) -> Vec<f64> {
+/// Sends requests at a rate on one connection for one slice; returns the latencies of those answered 200, µs.
+async fn send_requests(mut conn: Conn, name: String, rate: f64, clock: Clock) -> Vec<f64> {
     let mut next = Instant::now();
     let end = next + SLICE;
     let mut seen = Vec::new();
--- a/crates/sandgap-rig/src/fleet/net.rs
+++ b/crates/sandgap-rig/src/fleet/net.rs
@@ -1,8 +1,8 @@
-//! The net between processes: each pair of proxies that talk do so through a relay, one for each that dials, which can
-//! cut a way or one direction of it, delay, throttle, and break what is under way in the middle of a frame.
+//! The network between the processes of a fleet: every proxy reaches every other one through a TCP relay for that pair.
+//! A relay can drop one or both directions, delay or throttle bytes, and break connections in the middle of a frame.
 //!
-//! Relays carry TCP, so that nothing is doubled or reordered within a connection; what a broken one loses, its ends
-//! have to make up for.
+//! Relays carry TCP, so that nothing is duplicated or reordered within a connection; the ends of a broken connection
+//! have to recover what it lost.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,51 +16,51 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Bytes that a relay takes at once, and holds for one direction.
+/// Bytes that a relay reads at once, and so the most it buffers for one direction.
 const CHUNK: usize = 16 << 10;
 
-/// What happens to bytes in one direction.
+/// What happens to the bytes in one direction between two proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Way {
-    /// They pass after a span, at most so many bytes a second (0: as they come).
+    /// They are forwarded after a delay, at no more than so many bytes per second (0: unlimited).
     Open(Duration, u64),
-    /// They are taken and go nowhere: the connection lives on, and is broken once the way opens again.
+    /// They are read and discarded. The connection stays open until the direction is restored, and is then broken.
     Hole,
 }
 
 impl Way {
-    /// They pass at once.
+    /// They are forwarded at once.
     pub const FREE: Way = Way::Open(Duration::ZERO, 0);
 }
 
-/// All relays.
+/// The relays between all pairs of proxies.
 pub struct Net {
     size: usize,
-    /// From one proxy to another, whoever dialled.
+    /// By the sending and the receiving proxy, whichever of them opened the connection.
     ways: RefCell<Vec<Way>>,
-    /// Connections from one to another are broken when this moves.
-    broken: RefCell<Vec<u64>>,
+    /// For each pair, a counter whose increase cut_count the pair's connections.
+    cut_counts: RefCell<Vec<u64>>,
     changed: Notify,
-    /// Where one proxy dials another.
+    /// The relay's address, by the connecting proxy and the one it connects to.
     addresses: RefCell<Vec<Option<SocketAddr>>>,
-    /// Bytes passed.
-    pub passed: Cell<u64>,
+    /// Bytes forwarded by all relays.
+    pub bytes_passed: Cell<u64>,
 }
 
 impl Net {
-    /// Relays for each that dials each other; `real` is where the proxies are.
+    /// Starts a relay for each ordered pair of proxies; `real` holds the proxies' own addresses.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error.
     pub async fn start(real: &[SocketAddr]) -> std::io::Result<Rc<Self>> {
         let size = real.len();
         let net = Rc::new(Net {
             size,
             ways: RefCell::new(vec![Way::FREE; size * size]),
-            broken: RefCell::new(vec![0; size * size]),
+            cut_counts: RefCell::new(vec![0; size * size]),
             changed: Notify::new(),
             addresses: RefCell::new(vec![None; size * size]),
-            passed: Cell::new(0),
+            bytes_passed: Cell::new(0),
         });
         for from in 0..size {
             for to in (0..size).filter(|to| *to != from) {
@@ -72,12 +72,13 @@
         Ok(net)
     }
 
-    /// Where `from` dials `to`.
+    /// The address at which `from` connects to `to`.
     pub fn address(&self, from: usize, to: usize) -> Option<SocketAddr> {
         self.addresses.borrow()[from * self.size + to]
     }
 
-    /// Sets what happens from one to another. A way that was a hole loses its connections when it opens.
+    /// Sets what happens to bytes from one proxy to another. Breaks the connections between the two when it ends a
+    /// [`Way::Hole`].
     pub fn set(&self, from: usize, to: usize, way: Way) {
         let at = from * self.size + to;
         let before = std::mem::replace(&mut self.ways.borrow_mut()[at], way);
@@ -87,16 +88,16 @@
         self.changed.notify_waiters();
     }
 
-    /// Breaks what is under way between two, in the middle of whatever it is.
+    /// Breaks all connections between two proxies, also in the middle of a frame.
     pub fn cut(&self, from: usize, to: usize) {
-        let mut broken = self.broken.borrow_mut();
-        broken[from * self.size + to] += 1;
-        broken[to * self.size + from] += 1;
-        drop(broken);
+        let mut cut_counts = self.cut_counts.borrow_mut();
+        cut_counts[from * self.size + to] += 1;
+        cut_counts[to * self.size + from] += 1;
+        drop(cut_counts);
         self.changed.notify_waiters();
     }
 
-    /// All ways are free.
+    /// Restores all directions.
     pub fn heal(&self) {
         for from in 0..self.size {
             for to in (0..self.size).filter(|to| *to != from) {
@@ -109,34 +110,35 @@
         self.ways.borrow()[from * self.size + to]
     }
 
-    fn breaks(&self, from: usize, to: usize) -> u64 {
-        self.broken.borrow()[from * self.size + to]
+    fn cut_count(&self, from: usize, to: usize) -> u64 {
+        self.cut_counts.borrow()[from * self.size + to]
     }
 
     async fn listen(self: Rc<Self>, listener: TcpListener, from: usize, to: usize, real: SocketAddr) {
-        while let Ok((near, _)) = listener.accept().await {
-            spawn_local(self.clone().relay(near, from, to, real));
+        while let Ok((client, _)) = listener.accept().await {
+            spawn_local(self.clone().relay(client, from, to, real));
         }
     }
 
-    async fn relay(self: Rc<Self>, near: TcpStream, from: usize, to: usize, real: SocketAddr) {
-        let breaks = self.breaks(from, to);
-        let Ok(far) = TcpStream::connect(real).await else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
+    async fn relay(self: Rc<Self>, client: TcpStream, from: usize, to: usize, real: SocketAddr) {
+        let cut_count = self.cut_count(from, to);
+        let Ok(server) = TcpStream::connect(real).await else { return };
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let ((client_read, client_write), (server_read, server_write)) =
+            (client.into_split(), server.into_split());
         let broken = async {
-            while self.breaks(from, to) == breaks {
+            while self.cut_count(from, to) == cut_count {
                 self.changed.notified().await;
             }
         };
         tokio::select! {
-            () = self.pass(near_read, far_write, from, to) => {}
-            () = self.pass(far_read, near_write, to, from) => {}
+            () = self.forward(client_read, server_write, from, to) => {}
+            () = self.forward(server_read, client_write, to, from) => {}
             () = broken => {}
         }
     }
 
-    async fn pass(&self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf, from: usize, to: usize) {
+    async fn forward(&self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf, from: usize, to: usize) {
         let mut bytes = vec![0; CHUNK];
         loop {
             let n = match read.read(&mut bytes).await {
@@ -155,11 +157,11 @@
                     }
                 }
             }
-            // What became a hole meanwhile swallows this, too.
+            // The direction may have become a hole while these bytes were delayed.
             if self.way(from, to) != Way::Hole && write.write_all(&bytes[..n]).await.is_err() {
                 return;
             }
-            self.passed.set(self.passed.get() + n as u64);
+            self.bytes_passed.set(self.bytes_passed.get() + n as u64);
         }
     }
 }
--- a/crates/sandgap-rig/src/fleet/outs.rs
+++ b/crates/sandgap-rig/src/fleet/outs.rs
@@ -1,5 +1,5 @@
-//! Holders that take backends out and bring them back all the while, and somebody who halts, through the program's own
-//! calls by hand.
+//! Holders that repeatedly take backends out and bring them back, and a task that halts and resumes grants, through the
+//! program's `fleet` commands.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,72 +9,74 @@
 use tokio::time::{Instant, sleep};
 
 use super::plan::Hasty;
-use super::{PATIENCE, Run, RunError};
+use super::{MAX_WAIT, Run, RunError};
 
-/// How long a holder has its backend.
-const WORK_MS: std::ops::Range<u64> = 100..400;
-/// Between two halts, and how long one stands.
-const HALT_MS: std::ops::Range<u64> = 1500..3500;
-const HALTED_MS: std::ops::Range<u64> = 300..1500;
-/// How long a halt that nobody was told of stands: long enough for several outs.
-const KEPT_BY_NOBODY: Duration = Duration::from_secs(6);
-/// How long a holder waits for a backend before it gives its wish up, s.
-const PATIENT: &str = "5";
+/// How long a holder keeps its backend out, ms.
+const HOLD_MS: std::ops::Range<u64> = 100..400;
+/// Time between two halts, ms.
+const HALT_INTERVAL_MS: std::ops::Range<u64> = 1500..3500;
+/// How long a halt lasts, ms.
+const HALT_LENGTH_MS: std::ops::Range<u64> = 300..1500;
+/// How long a halt lasts that is deliberately not sent to the fleet: long enough for several backends to go out.
+const UNSENT_HALT_LENGTH: Duration = Duration::from_secs(6);
+/// How long a holder waits for a backend before it withdraws its wish, s.
+const HOLDER_PATIENCE_S: &str = "5";
 
 impl Run {
-    /// Sets how many backends may be out.
+    /// Sets how many backends may be out at once, and waits until all targets count as available.
     pub(super) async fn set_bounds(&self) -> Result<(), RunError> {
         if self.size.holders == 0 {
             return Ok(());
         }
         let most = self.size.bound_out + usize::from(self.size.hasty == Hasty::Bound);
         let bound = format!("backend:fleet:{most}");
-        self.must("the bounds", &["budget", "--set", &bound]).await;
-        // What has not been seen well yet counts as out.
+        self.call_until_done("setting the bounds", &["budget", "--set", &bound]).await;
+        // A target that has not yet been seen healthy counts as out.
         let all = self.size.backends + self.size.voters + self.size.observers;
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + MAX_WAIT;
         while Instant::now() < end {
-            let told = self.call(&["outs", "--json"]).await;
-            let told = told.and_then(|t| serde_json::from_slice::<Value>(&t.stdout).ok()).unwrap_or_default();
-            let targets = told["targets"].as_array().cloned().unwrap_or_default();
+            let status = self.call(&["outs", "--json"]).await;
+            let status =
+                status.and_then(|t| serde_json::from_slice::<Value>(&t.stdout).ok()).unwrap_or_default();
+            let targets = status["targets"].as_array().cloned().unwrap_or_default();
             if targets.len() == all && targets.iter().all(|t| t["lost"] == false) {
                 return Ok(());
             }
             sleep(Duration::from_millis(50)).await;
         }
-        Err(RunError::Endless("all targets to be seen well", PATIENCE))
+        Err(RunError::Endless("waiting until all targets are seen healthy", MAX_WAIT))
     }
 
-    /// Starts the holders, and whoever halts them.
-    pub(super) fn hold_all(self: &Rc<Self>, until: Instant) {
+    /// Starts the holders and the task that halts grants.
+    pub(super) fn start_holders(self: &Rc<Self>, until: Instant) {
         if self.size.holders == 0 {
             return;
         }
-        self.holding.set(self.size.holders + 1);
+        self.active_holders.set(self.size.holders + 1);
         for n in 0..self.size.holders {
             let run = self.clone();
             spawn_local(async move {
-                run.hold(n as u64, until).await;
-                run.holding.set(run.holding.get() - 1);
+                run.run_holder(n as u64, until).await;
+                run.active_holders.set(run.active_holders.get() - 1);
             });
         }
         let run = self.clone();
         spawn_local(async move {
-            run.halt(until).await;
-            run.holding.set(run.holding.get() - 1);
+            run.run_halts(until).await;
+            run.active_holders.set(run.active_holders.get() - 1);
         });
     }
 
-    async fn call(&self, words: &[&str]) -> Option<std::process::Output> {
-        self.site.hand(words).output().await.ok()
+    async fn call(&self, arguments: &[&str]) -> Option<std::process::Output> {
+        self.site.cli(arguments).output().await.ok()
     }
 
-    /// Makes a call until it is done.
-    async fn must(&self, what: &str, words: &[&str]) {
-        let end = Instant::now() + PATIENCE;
+    /// Repeats a command until it succeeds; a failed check if it doesn't in time.
+    async fn call_until_done(&self, what: &str, arguments: &[&str]) {
+        let end = Instant::now() + MAX_WAIT;
         let mut said = String::new();
         while Instant::now() < end {
-            if let Some(output) = self.call(words).await {
+            if let Some(output) = self.call(arguments).await {
                 if output.status.success() {
                     return;
                 }
@@ -82,84 +84,87 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        self.broken.borrow_mut().push(format!("{what}: not done in {PATIENCE:?}: {said}"));
+        self.broken.borrow_mut().push(format!("{what} did not succeed within {MAX_WAIT:?}: {said}"));
     }
 
-    async fn hold(&self, holder: u64, until: Instant) {
+    async fn run_holder(&self, holder: u64, until: Instant) {
         let mut rng = fastrand::Rng::with_seed(self.seed ^ (holder + 1).wrapping_mul(0x9e37_79b9));
         while Instant::now() < until {
             let backend = rng.usize(..self.size.backends);
             let name = format!("b{backend}");
             let wish = format!("{:x}", rng.u64(1..));
-            let mut words = vec!["out", &name, "--queue", "--json", "--wish", &wish, "--patience", PATIENT];
+            let mut arguments =
+                vec!["out", &name, "--queue", "--json", "--wish", &wish, "--patience", HOLDER_PATIENCE_S];
             if self.size.hasty != Hasty::Grant {
-                words.push("--wait");
+                arguments.push("--wait");
             }
             let asked = self.clock.now();
-            let out = self.call(&words).await;
-            let told = out.filter(|o| o.status.success()).map(|o| serde_json::from_slice::<Value>(&o.stdout));
-            if let Some(told) = told {
+            let out = self.call(&arguments).await;
+            let answer =
+                out.filter(|o| o.status.success()).map(|o| serde_json::from_slice::<Value>(&o.stdout));
+            if let Some(answer) = answer {
                 self.outs.borrow_mut().empty(backend, asked, self.clock.now());
-                sleep(Duration::from_millis(rng.u64(WORK_MS))).await;
+                sleep(Duration::from_millis(rng.u64(HOLD_MS))).await;
                 self.outs.borrow_mut().back(backend);
-                // By the permit's number: a call whose answer was lost is made again, and must not bring back what is
-                // another's by then.
-                let permit = told.ok().and_then(|t| t["permit"].as_u64());
+                // By the permit's number: a command whose answer was lost is repeated, and must not bring back a backend
+                // that another holder has taken out meanwhile.
+                let permit = answer.ok().and_then(|t| t["permit"].as_u64());
                 let permit = permit.map(|p| p.to_string());
-                let mut words = vec!["back", &name];
-                words.extend(permit.iter().flat_map(|p| ["--permit", p.as_str()]));
-                self.must("a backend that is brought back", &words).await;
+                let mut arguments = vec!["back", &name];
+                arguments.extend(permit.iter().flat_map(|p| ["--permit", p.as_str()]));
+                self.call_until_done("bringing back a backend", &arguments).await;
             } else {
-                // Whether it was heard or not, whether it waits or is out by now.
+                // The wish may have been lost, still wait, or have been granted by now.
                 let _ = self.call(&["withdraw", &wish, "--patience", "2"]).await;
             }
             sleep(Duration::from_millis(rng.u64(..150))).await;
         }
     }
 
-    async fn halt(&self, until: Instant) {
+    async fn run_halts(&self, until: Instant) {
         let mut rng = fastrand::Rng::with_seed(self.seed ^ 0x4a17);
         loop {
-            sleep(Duration::from_millis(rng.u64(HALT_MS))).await;
+            sleep(Duration::from_millis(rng.u64(HALT_INTERVAL_MS))).await;
             if Instant::now() >= until {
                 return;
             }
-            let heard = match self.size.hasty {
+            let acknowledged = match self.size.hasty {
                 Hasty::Halt => true,
                 _ => {
                     let halted = self.call(&["halt", "--why", "by the rig", "--patience", "3"]).await;
                     halted.is_some_and(|o| o.status.success())
                 }
             };
-            if heard {
+            if acknowledged {
                 self.outs.borrow_mut().halted(self.clock.now());
             }
             let span = match self.size.hasty {
-                Hasty::Halt => KEPT_BY_NOBODY,
-                _ => Duration::from_millis(rng.u64(HALTED_MS)),
+                Hasty::Halt => UNSENT_HALT_LENGTH,
+                _ => Duration::from_millis(rng.u64(HALT_LENGTH_MS)),
             };
             sleep(span).await;
             self.outs.borrow_mut().resumes();
-            // Also where nobody acknowledged the halt: it may have been heard.
-            self.must("grants that go on", &["resume"]).await;
+            // Also after a halt that was not acknowledged: it may have taken effect.
+            self.call_until_done("resuming grants", &["resume"]).await;
         }
     }
 
-    /// After all has healed every permit ends: wishes whose holders gave up are given up, what is out comes back.
-    pub(super) async fn all_back(&self) -> Result<(), RunError> {
+    /// Checks that every permit ends once all faults have: waits for the holders to finish, and withdraws the wishes
+    /// that remain.
+    pub(super) async fn end_all_permits(&self) -> Result<(), RunError> {
         if self.size.holders == 0 {
             return Ok(());
         }
-        let end = Instant::now() + 2 * PATIENCE;
-        while self.holding.get() > 0 && Instant::now() < end {
+        let end = Instant::now() + 2 * MAX_WAIT;
+        while self.active_holders.get() > 0 && Instant::now() < end {
             sleep(Duration::from_millis(50)).await;
         }
         let mut last = Value::Null;
         while Instant::now() < end {
-            if let Some(told) = self.call(&["outs", "--json"]).await
-                && let Ok(told) = serde_json::from_slice::<Value>(&told.stdout)
+            if let Some(status) = self.call(&["outs", "--json"]).await
+                && let Ok(status) = serde_json::from_slice::<Value>(&status.stdout)
             {
-                let permits = told["permits"].as_array().cloned().unwrap_or_default();
+                let permits = status["permits"].as_array().cloned().unwrap_or_default();
                 if permits.is_empty() {
                     return Ok(());
                 }
@@ -168,11 +173,11 @@
                         let _ = self.call(&["withdraw", wish]).await;
                     }
                 }
-                last = told;
+                last = status;
             }
             sleep(Duration::from_millis(100)).await;
         }
-        self.broken.borrow_mut().push(format!("permits that never end after all has healed: {last}"));
+        self.broken.borrow_mut().push(format!("permits did not end after all faults had ended: {last}"));
         Ok(())
     }
 }
--- a/crates/sandgap-rig/src/fleet/plan.rs
+++ b/crates/sandgap-rig/src/fleet/plan.rs
@@ -1,65 +1,65 @@
-//! What goes wrong in a fleet, drawn from a seed.
+//! The faults of a fleet run, drawn from a seed.
 
 use std::time::Duration;
 
 use super::net::Way;
 
-/// Something that happens to a process or the net.
+/// A fault of a process or of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// What happens from one to another, by pair.
+    /// Restores all directions, then sets the given ones: from a proxy, to a proxy, and what happens to the bytes.
     Ways(Vec<(usize, usize, Way)>),
-    /// What is under way between two breaks in the middle.
+    /// Breaks the connections between two proxies, also in the middle of a frame.
     Break(usize, usize),
-    /// All ways are free.
+    /// Restores all directions.
     Heal,
-    /// SIGSTOP, and SIGCONT after a span.
+    /// SIGSTOP, then SIGCONT after a span.
     Pause(usize, Duration),
-    /// SIGKILL, and a new start after a span.
+    /// SIGKILL, then a restart after a span.
     Kill(usize, Duration),
-    /// The same without its disk.
+    /// The same, and the files on its disk are lost.
     LoseDisk(usize, Duration),
-    /// SIGTERM, and a new start after it has ended.
+    /// SIGTERM, then a restart after the process has exited.
     Restart(usize),
 }
 
-/// How large a run is.
+/// The setup of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Voters.
+    /// Number of proxies that vote.
     pub voters: usize,
-    /// Other proxies.
+    /// Number of proxies that don't vote.
     pub observers: usize,
-    /// The stated time.
+    /// The configured bound T on how long two contradicting versions may be acted on together.
     pub bound: Duration,
-    /// What those that do not vote are told instead, by intent: a judge that does not find that out is none.
+    /// A wrong bound in the settings of the proxies that don't vote, to verify that the checker detects it.
     pub told: Option<Duration>,
-    /// How long faults go on.
+    /// How long faults are injected.
     pub faulty: Duration,
-    /// Between two publications.
+    /// Mean time between two publications.
     pub publish: Duration,
-    /// Requests a second at each proxy.
+    /// Requests per second at each proxy.
     pub rate: f64,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
-    /// Holders that take backends out, one after another; none if 0.
+    /// Number of holders, each of which takes out one backend after another.
     pub holders: usize,
     /// Backends that may be out at once.
     pub bound_out: usize,
-    /// What holders do wrong by intent.
+    /// The deliberate defect in how backends are taken out.
     pub hasty: Hasty,
 }
 
-/// What is done wrong by intent: a judge that does not find that out is none.
+/// A deliberate defect in how backends are taken out, to verify that the checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hasty {
-    /// Nothing.
+    /// No defect.
     No,
-    /// Holders take a grant for the word that their backend is empty.
+    /// Holders take a grant to mean that their backend is empty.
     Grant,
-    /// The fleet is told a bound that is higher by one.
+    /// The bound set in the fleet is one too high.
     Bound,
-    /// Grants go on after a halt.
+    /// A halt is not sent to the fleet, so that grants continue.
     Halt,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// Voters that are killed again and again, at drawn moments.
+/// `count` kills of random voters at random times; times are from the start of the run.
 pub fn kills(size: &Size, count: usize, seed: u64) -> Vec<(Duration, Fault)> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let each = size.faulty / (count as u32 + 1);
@@ -92,25 +92,25 @@
     (0..count as u32).map(one).collect()
 }
 
-/// Draws when what goes wrong; times are from the run's begin.
+/// Draws the faults; times are from the start of the run.
 pub fn draw(size: &Size, seed: u64) -> Vec<(Duration, Fault)> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let nodes = size.voters + size.observers;
     let span = |rng: &mut fastrand::Rng, most: u64| Duration::from_millis(rng.u64(100..most));
     let mut all = Vec::new();
     let mut at = Duration::from_millis(500);
-    let mut disks = 0;
+    let mut disks_lost = 0;
     while at < size.faulty {
         let (node, voter) = (rng.usize(..nodes), rng.usize(..size.voters));
         let fault = match rng.u32(..14) {
-            0..5 => Fault::Ways(shape(size, &mut rng)),
+            0..5 => Fault::Ways(draw_partition(size, &mut rng)),
             5 => Fault::Heal,
             6 => Fault::Break(node, (node + 1) % nodes),
             7 | 8 => Fault::Pause(if rng.bool() { node } else { voter }, span(&mut rng, 3000)),
             9 | 10 => Fault::Kill(voter, span(&mut rng, 1500)),
             11 => Fault::Kill(node, span(&mut rng, 1500)),
-            12 if disks == 0 => {
-                disks += 1;
+            12 if disks_lost == 0 => {
+                disks_lost += 1;
                 Fault::LoseDisk(voter, span(&mut rng, 800))
             }
             _ => Fault::Restart(node),
@@ -125,8 +125,8 @@
     all
 }
 
-/// The shape of a partition, and what happens on the ways that it concerns.
-fn shape(size: &Size, rng: &mut fastrand::Rng) -> Vec<(usize, usize, Way)> {
+/// Draws the shape of a partition and what happens to the bytes in the directions that it affects.
+fn draw_partition(size: &Size, rng: &mut fastrand::Rng) -> Vec<(usize, usize, Way)> {
     let nodes = size.voters + size.observers;
     let way = match rng.u32(..4) {
         0 => Way::Open(Duration::from_millis(rng.u64(20..400)), 0),
@@ -138,15 +138,15 @@
     let side: Vec<bool> = (0..nodes).map(|_| rng.bool()).collect();
     let chosen: Vec<(usize, usize)> = match rng.u32(..7) {
         0 => pairs().filter(|(a, b)| side[*a] != side[*b]).collect(),
-        // Halves with a bridge between them.
+        // Two halves with one proxy that reaches both.
         1 => pairs().filter(|(a, b)| side[*a] != side[*b] && *a != one && *b != one).collect(),
         2 => pairs().filter(|(a, b)| *a == one || *b == one).collect(),
-        // A voter that reaches no other voter, but all others.
+        // A voter that reaches no other voter, but all other proxies.
         3 => pairs().filter(|(a, b)| (*a == voter || *b == voter) && a.max(b) < &size.voters).collect(),
-        // One that hears nothing, or is not heard.
+        // A proxy that receives nothing, or a voter whose messages are lost.
         4 => pairs().filter(|(_, b)| *b == one).collect(),
         5 => pairs().filter(|(a, _)| *a == voter).collect(),
-        // A ring.
+        // A ring, in which each proxy reaches only its two neighbours.
         _ => pairs().filter(|(a, b)| (a + 1) % nodes != *b && (b + 1) % nodes != *a).collect(),
     };
     chosen.into_iter().map(|(a, b)| (a, b, way)).collect()
--- a/crates/sandgap-rig/src/fleet/site.rs
+++ b/crates/sandgap-rig/src/fleet/site.rs
@@ -1,4 +1,4 @@
-//! The processes of a fleet: settings files, starts, signals, and the program's own calls by hand.
+//! The processes of a fleet: their settings files, starts and signals, and the program's `fleet` commands.
 
 use std::cell::RefCell;
 use std::fmt::Write as _;
@@ -15,28 +15,28 @@
 use crate::process::{self, Usage};
 use crate::proxy::cpu_ns;
 
-/// Classes of the fleet: safe, keyed and unsafe.
+/// The classes of requests: safe, keyed and unsafe, in this order.
 pub const CLASSES: [&str; 3] = ["page", "book", "submit"];
-/// The longest wait of a client.
+/// The deadline of every class and the longest wait of a client.
 pub const DEADLINE: Duration = Duration::from_secs(1);
-/// The header that tells a backend the version.
-pub const HEADER: &str = "X-Rules-Version";
+/// The header in which a proxy tells a backend its rules version.
+pub const VERSION_HEADER: &str = "X-Rules-Version";
 
-/// Files and processes.
+/// The files and processes of a fleet.
 pub struct Site {
     program: PathBuf,
     folder: PathBuf,
     size: Size,
-    /// Where clients connect.
+    /// By proxy, the address for clients.
     pub listen: Vec<SocketAddr>,
-    /// Where proxies reach each other.
+    /// By proxy, the address for other proxies.
     pub fleet: Vec<SocketAddr>,
     backends: Vec<SocketAddr>,
     children: RefCell<Vec<Option<Child>>>,
 }
 
 impl Site {
-    /// A site in a folder; no process runs yet.
+    /// A fleet with its files in a folder; starts no process.
     pub fn new(
         program: &Path, folder: &Path, size: Size, listen: Vec<SocketAddr>, fleet: Vec<SocketAddr>,
         backends: Vec<SocketAddr>,
@@ -49,10 +49,11 @@
         self.folder.join(name)
     }
 
-    /// Settings of a proxy; the last number is the hand's, which dials everybody directly.
+    /// The settings of a proxy. The number after the last proxy's gives the settings of the `fleet` commands, which
+    /// connect to every proxy directly instead of through relays.
     fn settings(&self, n: usize, net: &Net) -> String {
-        let hand = n == self.listen.len();
-        let (name, listen, fleet) = match hand {
+        let is_cli = n == self.listen.len();
+        let (name, listen, fleet) = match is_cli {
             true => ("hand".to_owned(), "127.0.0.1:1".to_owned(), "127.0.0.1:1".to_owned()),
             false => (format!("p{n}"), self.listen[n].to_string(), self.fleet[n].to_string()),
         };
@@ -60,13 +61,17 @@
         let (store, keep) = (self.path(&format!("{name}.redb")), self.path(&format!("{name}.kept")));
         let mut text = format!(
             "[proxy]\nname = {name:?}\nlisten = {listen:?}\n[fleet]\nlisten = {fleet:?}\nkey = {key:?}\n\
-             bound_ms = {}\nstore = {store:?}\nkeep = {keep:?}\nheader = {HEADER:?}\n",
-            self.size.told.filter(|_| n >= self.size.voters && !hand).unwrap_or(self.size.bound).as_millis()
+             bound_ms = {}\nstore = {store:?}\nkeep = {keep:?}\nheader = {VERSION_HEADER:?}\n",
+            self.size
+                .told
+                .filter(|_| n >= self.size.voters && !is_cli)
+                .unwrap_or(self.size.bound)
+                .as_millis()
         );
         for v in 0..self.size.voters {
             let _ = write!(text, "[[voter]]\nname = \"p{v}\"\naddress = \"{}\"\n", self.fleet[v]);
         }
-        for to in (0..self.listen.len()).filter(|to| !hand && *to != n) {
+        for to in (0..self.listen.len()).filter(|to| !is_cli && *to != n) {
             if let Some(address) = net.address(n, to) {
                 let _ = write!(text, "[[way]]\nto = \"p{to}\"\naddress = \"{address}\"\n");
             }
@@ -74,13 +79,13 @@
         text + &self.rules(1)
     }
 
-    /// The rules of a publication: each contradicts every other one by its number of attempts.
+    /// The rules of a publication; publications contradict each other by their `max_attempts`.
     fn rules(&self, attempts: u64) -> String {
-        // Each class is refused without a lease, so that every request is held against T.
+        // Each class is refused without a lease, so that every request is checked against the bound T.
         self.rules_with(attempts, "on_lapse = \"refuse\"\n")
     }
 
-    /// These rules with more lines in each class.
+    /// The same rules with more lines in each class.
     fn rules_with(&self, attempts: u64, more: &str) -> String {
         let mut text = String::new();
         for (b, address) in self.backends.iter().enumerate() {
@@ -103,10 +108,10 @@
         text
     }
 
-    /// Writes all files and founds the voters' stores.
+    /// Writes all files and creates the voters' stores with `fleet found`.
     ///
     /// # Errors
-    /// The system's, or what the program says.
+    /// An I/O error, or the program's error message.
     pub fn prepare(&self, net: &Net) -> std::io::Result<()> {
         std::fs::write(self.path("key"), "5a".repeat(32))?;
         for n in 0..=self.listen.len() {
@@ -120,28 +125,28 @@
                 .output()?;
             if !output.status.success() {
                 let text = String::from_utf8_lossy(&output.stderr).into_owned();
-                return Err(std::io::Error::other(format!("p{v} can't be founded: {text}")));
+                return Err(std::io::Error::other(format!("`fleet found` failed for p{v}: {text}")));
             }
         }
         Ok(())
     }
 
-    /// Takes the fleet out of a proxy's settings.
+    /// Rewrites a proxy's settings without a fleet.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error.
     pub fn without_fleet(&self, n: usize) -> std::io::Result<()> {
         let own = format!("[proxy]\nname = \"p{n}\"\nlisten = \"{}\"\n", self.listen[n]);
         std::fs::write(self.path(&format!("p{n}.toml")), own + &self.rules_with(2, ""))
     }
 
-    /// Processor time that a proxy has used so far, µs.
+    /// Processor time that a proxy's process has used so far, µs.
     pub fn cpu_us(&self, n: usize) -> f64 {
         let children = self.children.borrow();
         children[n].as_ref().map_or(0.0, cpu_ns) / 1e3
     }
 
-    /// What a proxy's process has used since its start.
+    /// The resource usage of a proxy's process since its start; zeros if it was not started.
     pub fn usage(&self, n: usize) -> Usage {
         let children = self.children.borrow();
         children[n].as_ref().map_or_else(Usage::default, |child| process::usage(child.id()))
@@ -150,15 +155,15 @@
     /// Starts a proxy.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error.
     pub fn start(&self, n: usize) -> std::io::Result<()> {
         self.start_program(&self.program, n)
     }
 
-    /// Starts a proxy of another build.
+    /// Starts a proxy with another build of the program.
     ///
     /// # Errors
-    /// The system's.
+    /// An I/O error.
     pub fn start_program(&self, program: &Path, n: usize) -> std::io::Result<()> {
         let log = File::options().create(true).append(true).open(self.path(&format!("p{n}.log")))?;
         let child = Command::new(program)
@@ -181,11 +186,11 @@
     pub fn signal(&self, n: usize, signal: Signal) {
         let pid = self.children.borrow()[n].as_ref().and_then(|c| Pid::from_raw(c.id() as i32));
         if let Some(pid) = pid {
-            let _ = kill_process(pid, signal); // it may just have ended
+            let _ = kill_process(pid, signal); // it may have exited already
         }
     }
 
-    /// Kills a proxy.
+    /// Kills a proxy's process and waits for its exit.
     pub fn kill(&self, n: usize) {
         if let Some(mut child) = self.children.borrow_mut()[n].take() {
             let _ = child.kill();
@@ -193,25 +198,25 @@
         }
     }
 
-    /// Takes a proxy's disk away.
+    /// Removes the files that a proxy has stored.
     pub fn lose_disk(&self, n: usize) {
         let _ = std::fs::remove_file(self.path(&format!("p{n}.redb")));
         let _ = std::fs::remove_file(self.path(&format!("p{n}.kept")));
     }
 
-    /// A call by hand.
-    pub fn hand(&self, words: &[&str]) -> tokio::process::Command {
+    /// A `fleet` command of the program with these arguments.
+    pub fn cli(&self, arguments: &[&str]) -> tokio::process::Command {
         let mut command = tokio::process::Command::new(&self.program);
-        command.arg("fleet").args(words).arg("--settings").arg(self.path("hand.toml"));
+        command.arg("fleet").args(arguments).arg("--settings").arg(self.path("hand.toml"));
         command.stdin(Stdio::null()).kill_on_drop(true);
         command
     }
 
-    /// Writes the rules of a publication; returns where.
+    /// Writes the rules of a publication to a file and returns its path.
     ///
     /// # Errors
-    /// The system's.
-    pub fn publication(&self, attempts: u64) -> std::io::Result<PathBuf> {
+    /// An I/O error.
+    pub fn write_publication(&self, attempts: u64) -> std::io::Result<PathBuf> {
         let path = self.path(&format!("rules-{attempts}.toml"));
         std::fs::write(&path, format!("[proxy]\nlisten = \"127.0.0.1:1\"\n{}", self.rules(attempts)))?;
         Ok(path)
--- a/crates/sandgap-rig/src/main.rs
+++ b/crates/sandgap-rig/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `sandgap-rig`.
+//! The program `sandgap-rig`: runs scenarios and measurements against the proxy on loopback.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
 use sandgap_rig::schedule::{SCENARIOS, Scenario, Size, scenario};
 use sandgap_rules::Ledger;
 
-/// Faults, load and the ledger of the four rules, on loopback.
+/// Runs proxies under faults and load on loopback, and checks the four rules with the ledger.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -26,230 +26,232 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Names the scenarios.
+    /// Lists the scenarios.
     List,
-    /// Plays a scenario; exits 1 on a broken rule, 2 where there is no verdict.
+    /// Runs a scenario; exits 1 on a broken rule, 2 if there is no verdict.
     Run {
-        /// Its name, see `list`.
+        /// Name of the scenario; see `list`.
         scenario: String,
-        /// The seed of load and faults; drawn and printed where none is given.
+        /// Seed of load and faults; drawn and printed if not given.
         #[arg(long)]
         seed: Option<u64>,
-        /// Further seeds, counted up from the first.
+        /// Number of consecutive seeds to run, from the first on.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Prints one JSON object a run.
+        /// Prints one JSON object per run.
         #[arg(long)]
         json: bool,
-        /// Keeps the proxies' logs and says where.
+        /// Keeps the proxies' logs and prints where they are.
         #[arg(long)]
         keep_logs: bool,
-        /// Requests in all.
+        /// Total number of requests.
         #[arg(long, default_value_t = Size::default().requests)]
         requests: usize,
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = Size::default().rate)]
         rate: f64,
-        /// Proxies.
+        /// Number of proxies.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=64))]
         proxies: u16,
-        /// Backends at the start.
+        /// Number of backends at the start.
         #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u16).range(3..=200))]
         backends: u16,
-        /// The proxy's program; where none is given, `sandgap` beside this one.
+        /// Path of the proxy program; by default `sandgap` in the folder of this program.
         #[arg(long, env = "SANDGAP")]
         proxy: Option<PathBuf>,
-        /// Plays against the rig's own relay of this kind instead.
+        /// Runs against the rig's own relay of this kind instead.
         #[arg(long, conflicts_with = "proxy")]
         relay: Option<Kind>,
     },
-    /// Measures the proxy's cost against the bare relay's, in turn.
+    /// Measures the proxy's cost against the bare relay's, in alternating runs.
     Bench {
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = 500.0)]
         rate: f64,
-        /// Length of each run, s.
+        /// Length of each run, in seconds.
         #[arg(long, default_value_t = 8.0)]
         seconds: f64,
-        /// Backends.
+        /// Number of backends.
         #[arg(long, default_value_t = 12)]
         backends: usize,
-        /// Time of each request at its backend, ms.
+        /// Service time of each request at its backend, ms.
         #[arg(long, default_value_t = 2.0)]
         work: f64,
-        /// What the list says of each backend's size.
+        /// Size of each backend in the discovery list.
         #[arg(long, default_value_t = 7.0)]
         share: f64,
-        /// Pairs of runs.
+        /// Number of pairs of runs.
         #[arg(long, default_value_t = 3)]
         pairs: usize,
-        /// The proxies' processor.
+        /// Processor to which the proxies are bound.
         #[arg(long, default_value_t = 0)]
         cpu: usize,
-        /// The seed of the load.
+        /// Seed of the load.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
-        /// The proxy's program; where none is given, `sandgap` beside this one.
+        /// Path of the proxy program; by default `sandgap` in the folder of this program.
         #[arg(long, env = "SANDGAP")]
         proxy: Option<PathBuf>,
     },
-    /// Measures service where the list says nothing true of what backends hold, in turn with the same proxy told
-    /// the truth; exits 1 on a broken rule.
+    /// Measures service with wrong backend sizes in the discovery list, in turn with the same proxy given the true
+    /// sizes; exits 1 on a broken rule.
     Capacity {
-        /// What the list says.
+        /// Backend sizes in the discovery list.
         #[arg(long, value_enum, value_delimiter = ',', default_value = "one,fifty,shuffled")]
         shares: Vec<Shares>,
-        /// Loads, as parts of what the backends can do.
+        /// Loads, as fractions of the backends' capacity.
         #[arg(long, value_delimiter = ',', default_value = "0.7,0.95,1.3")]
         loads: Vec<f64>,
-        /// Proxies.
+        /// Number of proxies.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=64))]
         proxies: u16,
-        /// Backends: every other one holds 2, the rest 12.
+        /// Number of backends; they have 2 and 12 cores in alternation.
         #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u16).range(2..=200))]
         backends: u16,
-        /// Length of each run, s.
+        /// Length of each run, in seconds.
         #[arg(long, default_value_t = 12.0)]
         seconds: f64,
-        /// Half the backends take twice as long in the second third of the run.
+        /// Makes half the backends take twice as long in the second third of the run.
         #[arg(long)]
         neighbour: bool,
-        /// The seed of load and shares.
+        /// Seed of load and shares.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The proxy's program; where none is given, `sandgap` beside this one.
+        /// Path of the proxy program; by default `sandgap` in the folder of this program.
         #[arg(long, env = "SANDGAP")]
         proxy: Option<PathBuf>,
     },
-    /// Writes a scenario's servers and requests as an experiment of the laboratory; faults are left out.
+    /// Writes a scenario's servers and requests as an experiment for `sandgap-lab`; faults are left out.
     Export {
-        /// Its name, see `list`.
+        /// Name of the scenario; see `list`.
         scenario: String,
-        /// The folder.
+        /// Folder to write to.
         folder: PathBuf,
-        /// The seed.
+        /// Seed of the scenario.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Requests in all.
+        /// Total number of requests.
         #[arg(long, default_value_t = Size::default().requests)]
         requests: usize,
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = Size::default().rate)]
         rate: f64,
-        /// Proxies.
+        /// Number of proxies.
         #[arg(long, default_value_t = 3)]
         proxies: usize,
-        /// Backends.
+        /// Number of backends.
         #[arg(long, default_value_t = 12)]
         backends: usize,
     },
-    /// Plays a fleet that agrees on its rules under faults between its processes; exits 1 on what is broken.
+    /// Runs a fleet that agrees on its rules under faults of its network and processes; exits 1 on a failed check.
     Fleet {
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Further seeds, counted up from it.
+        /// Number of consecutive seeds to run, from the first on.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Proxies that vote.
+        /// Number of proxies that vote.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=9))]
         voters: u16,
-        /// Others.
+        /// Number of proxies that don't vote.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(0..=40))]
         observers: u16,
-        /// The stated time, ms.
+        /// Bound on how long two contradicting versions may be acted on together, ms.
         #[arg(long, default_value_t = 1000)]
         bound_ms: u64,
-        /// How long faults go on, s; 0 for none.
+        /// How long faults are injected, in seconds; 0 for none.
         #[arg(long, default_value_t = 12.0)]
         seconds: f64,
-        /// Instead of all faults so many kills of voters, while much is published.
+        /// Injects only this many kills of voters instead of all faults, and publishes more often.
         #[arg(long)]
         kills: Option<usize>,
-        /// Backends.
+        /// Number of backends.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=64))]
         backends: u16,
-        /// Holders that take backends out and bring them back all the while.
+        /// Number of holders that repeatedly take backends out and bring them back.
         #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u16).range(0..=32))]
         holders: u16,
-        /// Backends that may be out at once.
+        /// Number of backends that may be out at once.
         #[arg(long, default_value_t = 2)]
         bound_out: u16,
-        /// The proxy's program; where none is given, `sandgap` beside this one.
+        /// Path of the proxy program; by default `sandgap` in the folder of this program.
         #[arg(long, env = "SANDGAP")]
         proxy: Option<PathBuf>,
     },
-    /// Measures what agreed rules cost a proxy, against the same proxy without a fleet, in turn.
+    /// Measures what agreement on rules costs a proxy, against the same proxy without a fleet, in alternation.
     FleetCost {
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = 2500.0)]
         rate: f64,
-        /// Turns: a quarter of a second of each.
+        /// Number of turns; each proxy is measured for a quarter of a second per turn.
         #[arg(long, default_value_t = 100)]
         turns: usize,
-        /// An earlier build, to be measured without a fleet in the same turns.
+        /// Path of an earlier build, which is measured without a fleet in the same turns.
         #[arg(long)]
         before: Option<PathBuf>,
-        /// The proxy's program; where none is given, `sandgap` beside this one.
+        /// Path of the proxy program; by default `sandgap` in the folder of this program.
         #[arg(long, env = "SANDGAP")]
         proxy: Option<PathBuf>,
     },
-    /// Measures what agreed rules cost as a fleet grows: hollow proxies beside real voters.
+    /// Measures what agreement on rules costs as a fleet grows, with hollow proxies (without a data path) and real
+    /// voters.
     Scale {
-        /// Hollow proxies, one play for each size; more than 1,000 are foretold from the plays before.
+        /// Numbers of hollow proxies, one run for each; from the third run on, the figures are also predicted from the
+        /// runs before.
         #[arg(long, value_delimiter = ',', default_values_t = [100, 300, 1000])]
         sizes: Vec<usize>,
-        /// How many of them share a process.
+        /// Hollow proxies per process.
         #[arg(long, default_value_t = 50, value_parser = clap::value_parser!(u16).range(1..=400))]
         per_process: u16,
-        /// Proxies that vote.
+        /// Number of proxies that vote.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=9))]
         voters: u16,
-        /// The stated time, ms.
+        /// Bound on how long two contradicting versions may be acted on together, ms.
         #[arg(long, default_value_t = 1000)]
         bound_ms: u64,
-        /// How long nothing is published while messages are counted, s.
+        /// How long messages are counted while nothing is published, in seconds.
         #[arg(long, default_value_t = 20.0)]
         idle: f64,
-        /// Versions that are published then.
+        /// Number of versions that are published after that.
         #[arg(long, default_value_t = 5)]
         changes: u64,
-        /// Then voters are killed in turn, and a process of proxies, a change published each time.
+        /// Finally kills each voter in turn and a process of hollow proxies, and publishes a change after each fault.
         #[arg(long)]
         faults: bool,
-        /// What is wrong by intent.
+        /// Deliberate defect of the hollow proxies, to verify the checks.
         #[arg(long)]
         defect: Option<Defect>,
-        /// One JSON object a play.
+        /// Prints one JSON object per run.
         #[arg(long)]
         json: bool,
-        /// The voters' program; where none is given, `sandgap` beside this one.
+        /// Path of the voters' program; by default `sandgap` in the folder of this program.
         #[arg(long, env = "SANDGAP")]
         proxy: Option<PathBuf>,
     },
-    /// Tells what rulebooks take on the wire, by the numbers of what they name.
+    /// Prints the encoded size of rulebooks with given numbers of backends, tenants and classes.
     Books,
-    /// Holds hollow proxies for `scale`, until its standard input ends.
+    /// Runs hollow proxies for `scale` until its standard input ends.
     #[command(hide = true)]
     ScaleBlock {
-        /// What they are, as JSON.
+        /// Their setup, as JSON.
         setup: String,
     },
-    /// Is a relay; its configuration is named by NODE_CONFIG.
+    /// Runs a relay with the configuration file that NODE_CONFIG names.
     #[command(hide = true)]
     Relay {
-        /// What is wrong with it.
+        /// The kind of relay.
         kind: Kind,
     },
 }
 
-/// Prints what a fleet costs: medians over all turns, and the ratios' with their quartiles.
-fn show_cost(cost: &fleet::cost::Cost) {
+/// Prints what a fleet costs: medians over all turns, and for the ratios their quartiles too.
+fn print_cost(cost: &fleet::cost::Cost) {
     type Of = fn(&fleet::cost::Turn) -> Option<f64>;
-    let middle = |of: Of, part: f64| {
+    let quantile = |of: Of, part: f64| {
         let mut all: Vec<f64> = cost.turns.iter().filter_map(of).collect();
         all.sort_by(f64::total_cmp);
         all.get((all.len().saturating_sub(1) as f64 * part) as usize).copied()
@@ -257,24 +259,33 @@
     let slices: [(&str, [Of; 3]); 3] = [
         (
             "before",
-            [|t| Some(t.before?.each_us), |t| Some(t.before?.latency_us.0), |t| Some(t.before?.latency_us.1)],
+            [
+                |t| Some(t.before?.cpu_us_per_request),
+                |t| Some(t.before?.latency_us.0),
+                |t| Some(t.before?.latency_us.1),
+            ],
         ),
-        ("off", [|t| Some(t.off.each_us), |t| Some(t.off.latency_us.0), |t| Some(t.off.latency_us.1)]),
-        ("on", [|t| Some(t.on.each_us), |t| Some(t.on.latency_us.0), |t| Some(t.on.latency_us.1)]),
+        (
+            "off",
+            [|t| Some(t.off.cpu_us_per_request), |t| Some(t.off.latency_us.0), |t| Some(t.off.latency_us.1)],
+        ),
+        ("on", [|t| Some(t.on.cpu_us_per_request), |t| Some(t.on.latency_us.0), |t| Some(t.on.latency_us.1)]),
     ];
-    for (name, [each, p50, p99]) in slices {
-        if let (Some(each), Some(p50), Some(p99)) = (middle(each, 0.5), middle(p50, 0.5), middle(p99, 0.5)) {
-            println!("{name:6} {each:6.1} us a request; p50 {p50:.0} us, p99 {p99:.0} us");
+    for (name, [cpu_us, p50, p99]) in slices {
+        if let (Some(cpu_us), Some(p50), Some(p99)) =
+            (quantile(cpu_us, 0.5), quantile(p50, 0.5), quantile(p99, 0.5))
+        {
+            println!("{name:6} {cpu_us:6.1} us cpu/request; p50 {p50:.0} us, p99 {p99:.0} us");
         }
     }
-    println!("idle: off {:.0} us a second, on {:.0} us", cost.idle_us.0, cost.idle_us.1);
+    println!("idle: off {:.0} us cpu/s, on {:.0} us cpu/s", cost.idle_us.0, cost.idle_us.1);
     let ratios: [(&str, Of); 2] =
-        [("on over off", |t| Some(t.on_over_off())), ("off over before", fleet::cost::Turn::off_over_before)];
+        [("on/off", |t| Some(t.on_over_off())), ("off/before", fleet::cost::Turn::off_over_before)];
     for (name, ratio) in ratios {
         if let (Some(low), Some(mid), Some(high)) =
-            (middle(ratio, 0.25), middle(ratio, 0.5), middle(ratio, 0.75))
+            (quantile(ratio, 0.25), quantile(ratio, 0.5), quantile(ratio, 0.75))
         {
-            println!("{name} {mid:.3} (quartiles {low:.3} to {high:.3}, {} turns)", cost.turns.len());
+            println!("{name}: {mid:.3} (quartiles {low:.3} to {high:.3}, {} turns)", cost.turns.len());
         }
     }
 }
@@ -294,7 +305,7 @@
 }
 
 fn main() -> ExitCode {
-    match act(Arguments::parse().command) {
+    match run_command(Arguments::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
@@ -304,7 +315,7 @@
     }
 }
 
-fn act(command: Command) -> Result<bool, Box<dyn std::error::Error>> {
+fn run_command(command: Command) -> Result<bool, Box<dyn std::error::Error>> {
     match command {
         Command::List => {
             SCENARIOS.iter().for_each(|s| println!("{:<16} {}", s.name, s.about));
@@ -322,31 +333,33 @@
                 println!("{}", serde_json::to_string(&comparison)?);
             } else {
                 println!(
-                    "{rate} requests/s, {backends} backends of {work} ms, {seconds} s a run\n{comparison}"
+                    "{rate} requests/s, {backends} backends with {work} ms per request, {seconds} s per run\n{comparison}"
                 );
             }
             Ok(true)
         }
         Command::Capacity { shares, loads, proxies, backends, seconds, neighbour, seed, proxy: path } => {
             let program = proxy(path)?;
-            let mut held = true;
+            let mut passed = true;
             for load in loads {
-                let play = |shares| {
+                let measure = |shares| {
                     let (proxies, backends) = (proxies.into(), backends.into());
                     let setup = Setup { shares, load, proxies, backends, seconds, neighbour, seed };
                     capacity::measure(&setup, &program)
                 };
-                let told = play(Shares::True)?;
-                println!("load {load}, told the truth: {told}");
-                held &= !told.broken;
+                let with_true_shares = measure(Shares::True)?;
+                println!("load {load}, true shares: {with_true_shares}");
+                passed &= !with_true_shares.broken;
                 for shares in &shares {
-                    let learned = play(*shares)?;
-                    let ratio = learned.in_time / told.in_time;
-                    println!("load {load}, shares {shares:?}: {ratio:.3} of that; {learned}");
-                    held &= !learned.broken;
+                    let with_given_shares = measure(*shares)?;
+                    let ratio = with_given_shares.in_time / with_true_shares.in_time;
+                    println!(
+                        "load {load}, shares {shares:?}: {ratio:.3} of in-time answers with true shares; {with_given_shares}"
+                    );
+                    passed &= !with_given_shares.broken;
                 }
             }
-            Ok(held)
+            Ok(passed)
         }
         Command::Fleet {
             seed,
@@ -372,7 +385,7 @@
                 ..Default::default()
             };
             let program = proxy(path)?.path;
-            let mut held = true;
+            let mut passed = true;
             for seed in seed..seed.saturating_add(seeds) {
                 let plan = match kills {
                     Some(count) => {
@@ -384,16 +397,16 @@
                 let (report, folder) = fleet::run_plan(&program, size, seed, plan)?;
                 println!("{report}");
                 if !report.broken.is_empty() {
-                    held = false;
+                    passed = false;
                     eprintln!("logs: {}", folder.path.display());
                 }
             }
-            Ok(held)
+            Ok(passed)
         }
         Command::FleetCost { rate, turns, before, proxy: path } => {
             let program = proxy(path)?.path;
             let load = fleet::cost::Load { program: &program, before: before.as_deref(), rate, turns };
-            show_cost(&fleet::cost::measure(&load)?);
+            print_cost(&fleet::cost::measure(&load)?);
             Ok(true)
         }
         Command::Scale {
@@ -419,12 +432,16 @@
                 faults,
                 defect,
             };
-            play_sizes(&proxy(path)?.path, &setup, &sizes, json)?;
+            run_sizes(&proxy(path)?.path, &setup, &sizes, json)?;
             Ok(true)
         }
         Command::Books => {
-            for (backends, tenants, classes) in BOOKS {
-                let bytes = scale::books::bytes(scale::books::Numbers { backends, tenants, classes })?;
+            for (backends, tenants, classes) in RULEBOOK_COUNTS {
+                let bytes = scale::rulebook_size::encoded_size(scale::rulebook_size::Counts {
+                    backends,
+                    tenants,
+                    classes,
+                })?;
                 println!("{backends} backends, {tenants} tenants, {classes} classes: {bytes} bytes");
             }
             Ok(true)
@@ -434,9 +451,9 @@
             Ok(true)
         }
         Command::Export { scenario: name, folder, seed, requests, rate, proxies, backends } => {
-            let plan = named(&name)?.plan(seed, Size { requests, rate, proxies, backends });
+            let plan = find_scenario(&name)?.plan(seed, Size { requests, rate, proxies, backends });
             sandgap_rig::export::write(&plan, &folder)?;
-            println!("{name} seed {seed} is in {}", folder.display());
+            println!("{name} with seed {seed} is written to {}", folder.display());
             Ok(true)
         }
         Command::Run {
@@ -452,15 +469,15 @@
             proxy: path,
             relay,
         } => {
-            let scenario = named(&name)?;
+            let scenario = find_scenario(&name)?;
             let program = relay.map_or_else(|| proxy(path), relay_program)?;
             let first = seed.unwrap_or_else(fresh_seed);
             let size = Size { requests, rate, proxies: proxies.into(), backends: backends.into() };
-            let mut held = true;
+            let mut passed = true;
             for seed in first..first.saturating_add(seeds) {
                 let mut outcome = run::run(scenario.plan(seed, size), &program, Ledger::default())?;
                 let passes = outcome.passes();
-                held &= passes;
+                passed &= passes;
                 if json {
                     let line = serde_json::json!({
                         "scenario": name, "seed": seed, "passes": passes, "verdict": outcome.verdict,
@@ -470,7 +487,7 @@
                     println!("{line}");
                 } else {
                     println!(
-                        "{name} seed {seed}: {:.1} s, {} untaken, machine stood still {} times, {:.0} ms in all",
+                        "{name} seed {seed}: {:.1} s, {} requests found no proxy, machine stalled {} times, {:.0} ms in total",
                         outcome.seconds, outcome.untaken, outcome.stalls.0, outcome.stalls.1
                     );
                     println!("{outcome}");
@@ -480,13 +497,14 @@
                     eprintln!("logs: {}", outcome.logs.path.display());
                 }
             }
-            Ok(held)
+            Ok(passed)
         }
     }
 }
 
-/// Backends, tenants and classes of rulebooks that are told: each by itself, and the targets.
-const BOOKS: [(usize, usize, usize); 9] = [
+/// Numbers of backends, tenants and classes of the rulebooks whose size is printed: first each alone, then the target
+/// sizes.
+const RULEBOOK_COUNTS: [(usize, usize, usize); 9] = [
     (0, 0, 0),
     (200, 0, 0),
     (1000, 0, 0),
@@ -498,20 +516,20 @@
     (36_000, 230_000, 1800),
 ];
 
-/// Plays one fleet after another, and holds each figure of a size against what the sizes before foretold of it.
-fn play_sizes(
+/// Runs one fleet after another. From the third on, compares the figures with a linear prediction from the runs before.
+fn run_sizes(
     program: &std::path::Path, setup: &scale::Setup, sizes: &[usize], json: bool,
 ) -> Result<(), Box<dyn std::error::Error>> {
     type Figure = (&'static str, fn(&scale::Report) -> f64);
     const FIGURES: [Figure; 6] = [
-        ("bytes/s a proxy", |r| r.bytes_a_second),
-        ("links a proxy", |r| r.links),
+        ("bytes/s per proxy", |r| r.bytes_a_second),
+        ("links per proxy", |r| r.links),
         ("cores of all voters", scale::Report::voters_core),
-        ("peak KiB of a voter", |r| r.voters.iter().map(|v| v.peak_kib as f64).fold(0.0, f64::max)),
+        ("largest peak KiB of a voter", |r| r.voters.iter().map(|v| v.peak_kib as f64).fold(0.0, f64::max)),
         ("ms until in force everywhere", |r| r.in_force_ms(1.0)),
-        ("core a proxy", |r| r.core),
+        ("cores per proxy", |r| r.core),
     ];
-    let mut played: Vec<scale::Report> = Vec::new();
+    let mut reports: Vec<scale::Report> = Vec::new();
     for hollows in sizes {
         let report = scale::run(program, &scale::Setup { hollows: *hollows, ..setup.clone() })?;
         if json {
@@ -519,30 +537,30 @@
         } else {
             println!("{report}");
         }
-        for (name, of) in FIGURES.iter().filter(|_| played.len() > 1 && !json) {
-            let points: Vec<(f64, f64)> = played.iter().map(|r| (r.proxies as f64, of(r))).collect();
-            let (line, seen) = (scale::fit::Line::fit(&points), of(&report));
+        for (name, of) in FIGURES.iter().filter(|_| reports.len() > 1 && !json) {
+            let points: Vec<(f64, f64)> = reports.iter().map(|r| (r.proxies as f64, of(r))).collect();
+            let (line, measured) = (scale::fit::Line::fit(&points), of(&report));
             println!(
-                "  {name}: {:.4} + {:.6} x size foretold {:.3}, seen {seen:.3}: {:+.0}%",
+                "  {name}: {:.4} + {:.6} x size predicts {:.3}, measured {measured:.3}: {:+.0}%",
                 line.intercept,
                 line.slope,
                 line.at(*hollows as f64),
-                (line.at(*hollows as f64) / seen - 1.0) * 100.0
+                (line.at(*hollows as f64) / measured - 1.0) * 100.0
             );
         }
-        played.push(report);
+        reports.push(report);
     }
     Ok(())
 }
 
-fn named(name: &str) -> Result<&'static Scenario, String> {
+fn find_scenario(name: &str) -> Result<&'static Scenario, String> {
     scenario(name).ok_or_else(|| {
         let names: Vec<_> = SCENARIOS.iter().map(|s| s.name).collect();
-        format!("there is no scenario {name:?}; there are {}", names.join(", "))
+        format!("unknown scenario {name:?}; the scenarios are {}", names.join(", "))
     })
 }
 
-/// A seed that another run will hardly have; it is printed with the result.
+/// A seed from the clock, unlikely to repeat between runs; it is printed with the result.
 fn fresh_seed() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     u64::from(now.subsec_nanos()) % 1_000_000
--- a/crates/sandgap-rig/src/scale/blocks.rs
+++ b/crates/sandgap-rig/src/scale/blocks.rs
@@ -1,5 +1,6 @@
-//! The processes that hold hollow proxies. A block in another process reads a line for each question on standard input
-//! and answers it with a line on standard output; it ends when its input does.
+//! The processes that run hollow proxies. A block is the set of hollow proxies in one process. A block in a child
+//! process reads one command per line on standard input, answers each with one line on standard output, and exits at
+//! the end of its input.
 
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
@@ -14,28 +15,29 @@
 use super::hollow::{Block, BlockSetup, Tally};
 use crate::run::RunError;
 
-/// The argument, before a block's setup, by which a program is started that holds hollow proxies; see [`serve_block`].
+/// The command-line argument, followed by a block's setup, that makes a program run hollow proxies; see
+/// [`serve_block`].
 pub const BLOCK_COMMAND: &str = "scale-block";
-/// The question that a block answers.
+/// The command that asks a block for its counters.
 const TALLY: &str = "tally";
 
-/// All hollow proxies of a play.
+/// All hollow proxies of a run.
 pub enum Blocks {
-    /// In this process.
+    /// One block in this process.
     Here(Block),
-    /// In others.
+    /// One block in each of several child processes.
     Processes(Processes),
 }
 
-/// Processes of hollow proxies, and what they are started with.
+/// Child processes that run hollow proxies.
 pub struct Processes {
     rig: PathBuf,
     running: Vec<Process>,
-    /// What one that was killed was to hold.
-    lost: Option<BlockSetup>,
+    /// The block of the process that was killed, until it is restarted.
+    killed: Option<BlockSetup>,
 }
 
-/// One process of hollow proxies.
+/// One child process that runs a block of hollow proxies.
 pub struct Process {
     block: BlockSetup,
     input: ChildStdin,
@@ -44,20 +46,20 @@
 }
 
 impl Blocks {
-    /// Starts them.
+    /// Starts the blocks, in this process or in as many child processes as `per_process` asks for.
     pub async fn start(setup: &Setup, all: &BlockSetup) -> Result<Self, RunError> {
         let in_one = setup.per_process.unwrap_or(all.count).min(all.count);
-        has_descriptors(in_one, all.count + all.voters.len())?;
-        let Some(each) = setup.per_process else { return Ok(Blocks::Here(Block::start(all).await?)) };
+        check_descriptor_limit(in_one, all.count + all.voters.len())?;
+        let Some(block_size) = setup.per_process else { return Ok(Blocks::Here(Block::start(all).await?)) };
         let mut running = Vec::new();
-        for first in (0..all.count).step_by(each.max(1)) {
-            let count = each.min(all.count - first);
+        for first in (0..all.count).step_by(block_size.max(1)) {
+            let count = block_size.min(all.count - first);
             running.push(Process::start(&setup.rig, BlockSetup { first, count, ..all.clone() })?);
         }
-        Ok(Blocks::Processes(Processes { rig: setup.rig.clone(), running, lost: None }))
+        Ok(Blocks::Processes(Processes { rig: setup.rig.clone(), running, killed: None }))
     }
 
-    /// Hollow proxies that run at present.
+    /// The number of hollow proxies that are running.
     pub fn proxies(&self) -> usize {
         match self {
             Blocks::Here(block) => block.proxies(),
@@ -65,29 +67,30 @@
         }
     }
 
-    /// Kills one of several processes; returns how many hollow proxies went with it.
-    pub async fn lose_one(&mut self) -> Option<usize> {
+    /// Kills one of several child processes and returns how many hollow proxies it ran; `None` if there are fewer than
+    /// two.
+    pub async fn kill_one(&mut self) -> Option<usize> {
         let Blocks::Processes(processes) = self else { return None };
         if processes.running.len() < 2 {
             return None;
         }
         let mut process = processes.running.remove(0);
-        let _ = process.child.kill().await; // it may just have ended
-        processes.lost = Some(process.block.clone());
+        let _ = process.child.kill().await; // it may have exited already
+        processes.killed = Some(process.block.clone());
         Some(process.block.count)
     }
 
-    /// Starts anew what was lost.
-    pub fn restore(&mut self) -> std::io::Result<()> {
+    /// Restarts the block of the process that was killed.
+    pub fn restart_killed(&mut self) -> std::io::Result<()> {
         if let Blocks::Processes(processes) = self
-            && let Some(block) = processes.lost.take()
+            && let Some(block) = processes.killed.take()
         {
             processes.running.push(Process::start(&processes.rig, block)?);
         }
         Ok(())
     }
 
-    /// What all of them have counted.
+    /// The sum of the counters of all blocks.
     pub async fn tally(&mut self) -> Result<Tally, RunError> {
         match self {
             Blocks::Here(block) => Ok(block.tally()),
@@ -102,9 +105,9 @@
     }
 }
 
-/// Whether one process may hold the links of so many hollow proxies: one to each member of their fleet, and both ends of
-/// those between two of them.
-fn has_descriptors(in_one: usize, members: usize) -> Result<(), RunError> {
+/// Checks that the descriptor limit of a process allows for the links of `in_one` hollow proxies: each has one to each
+/// member of the fleet, and both ends of a link between two proxies of the process count.
+fn check_descriptor_limit(in_one: usize, members: usize) -> Result<(), RunError> {
     let needed = in_one * members;
     match getrlimit(Resource::Nofile).current {
         Some(limit) if needed as u64 > limit => Err(RunError::Descriptors { in_one, needed, limit }),
@@ -121,7 +124,7 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let piped = || std::io::Error::other("no pipe to a process of hollow proxies");
+        let piped = || std::io::Error::other("a child process of hollow proxies has no pipe");
         let input = child.stdin.take().ok_or_else(piped)?;
         let output = BufReader::new(child.stdout.take().ok_or_else(piped)?).lines();
         Ok(Process { block, input, output, child })
@@ -130,7 +133,8 @@
     async fn tally(&mut self) -> std::io::Result<Tally> {
         self.input.write_all(format!("{TALLY}\n").as_bytes()).await?;
         let line = self.output.next_line().await?;
-        let line = line.ok_or_else(|| std::io::Error::other("a process of hollow proxies has ended"))?;
+        let line =
+            line.ok_or_else(|| std::io::Error::other("a child process of hollow proxies has exited"))?;
         Ok(serde_json::from_str(&line)?)
     }
 }
@@ -138,15 +142,15 @@
 /// Runs a block in this process until its standard input ends.
 ///
 /// # Errors
-/// The system's.
+/// A setup that can't be parsed, or an I/O error.
 pub fn serve_block(setup: &str) -> Result<(), RunError> {
     let setup: BlockSetup = serde_json::from_str(setup).map_err(std::io::Error::from)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let block = Block::start(&setup).await?;
-        let mut questions = BufReader::new(tokio::io::stdin()).lines();
-        while let Some(question) = questions.next_line().await? {
-            if question == TALLY {
+        let mut commands = BufReader::new(tokio::io::stdin()).lines();
+        while let Some(command) = commands.next_line().await? {
+            if command == TALLY {
                 let answer = serde_json::to_string(&block.tally()).map_err(std::io::Error::from)?;
                 writeln!(std::io::stdout(), "{answer}")?;
             }
--- a/crates/sandgap-rig/src/scale/fit.rs
+++ b/crates/sandgap-rig/src/scale/fit.rs
@@ -1,33 +1,33 @@
-//! Figures as an intercept and a slope over the size of the fleet, fitted by least squares, so that a larger size can be
-//! foretold and held against its measurement.
+//! Least-squares lines of a figure over the size of the fleet, so that the figure at a larger size can be predicted and
+//! compared with its measurement.
 
 /// A straight line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Its value at 0.
+    /// The value at 0.
     pub intercept: f64,
-    /// What each further one adds.
+    /// The increase per unit of size.
     pub slope: f64,
 }
 
 impl Line {
-    /// The line through points with the least sum of squared distances; one point gives a level line.
+    /// The least-squares line through the points; a single point gives a horizontal line.
     pub fn fit(points: &[(f64, f64)]) -> Line {
         let count = points.len().max(1) as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
         let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
-        let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let together: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-        let slope = if spread > 0.0 { together / spread } else { 0.0 };
+        let squares_x: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        let products: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let slope = if squares_x > 0.0 { products / squares_x } else { 0.0 };
         Line { intercept: mean_y - slope * mean_x, slope }
     }
 
-    /// Its value at a size.
+    /// The value at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 
-    /// The largest distance of a point from it, as a part of the point.
+    /// The largest error of the line at any of the points, as a fraction of the point's value.
     pub fn worst_error(&self, points: &[(f64, f64)]) -> f64 {
         points
             .iter()
@@ -41,7 +41,7 @@
     use super::*;
 
     #[test]
-    fn a_line_is_found_and_foretells() {
+    fn a_line_is_fitted_and_extrapolates() {
         let points = [(100.0, 35.0), (300.0, 75.0), (1000.0, 215.0)];
         let line = Line::fit(&points);
         assert!((line.intercept - 15.0).abs() < 1e-9 && (line.slope - 0.2).abs() < 1e-12);
--- a/crates/sandgap-rig/src/scale/hollow.rs
+++ b/crates/sandgap-rig/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow proxies: the real agent of agreed rules, the real membership and the real links on loopback sockets, and no
-//! data path. Many of them run in one process, each with a name, a listener and connections of its own.
+//! Hollow proxies: the real rules agent, membership and fleet links on loopback sockets, without a data path. Many of
+//! them run in one process, each with a name, a listener and connections of its own.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,47 +18,47 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// The channel of membership on the links, as the daemon has it.
+/// The links' channel for membership, the same as the daemon's.
 const MEMBERSHIP_CHANNEL: u8 = 1;
-/// The channel of rules.
+/// The links' channel for rules, the same as the daemon's.
 const RULES_CHANNEL: u8 = 2;
-/// Messages that wait to be taken in by one proxy.
-const INCOMING: usize = 256;
-/// The longest wait between two looks at the timers; a lease that has lapsed is seen by then.
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+/// Capacity of one proxy's queue of incoming messages.
+const INCOMING_CAPACITY: usize = 256;
+/// The longest wait between two checks of the timers, and so the longest delay until a lapsed lease is noticed.
+const MAX_TIMER_WAIT: Duration = Duration::from_millis(100);
 
-/// A defect put in by hand: a check that does not find it is none.
+/// A deliberate defect, to verify that a check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 pub enum Defect {
-    /// Each question for a lease goes to all voters in place of one.
+    /// Each lease request is sent to all voters instead of one.
     AskEveryVoter,
-    /// What has been fetched is fetched once more from each voter.
+    /// Each fetch of a rulebook is sent to all voters instead of one.
     FetchEverywhere,
 }
 
-/// What all hollow proxies of a process share.
+/// The setup of a block, which all hollow proxies of a process share.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BlockSetup {
-    /// The number of the first.
+    /// The number of the first hollow proxy.
     pub first: usize,
-    /// How many there are.
+    /// How many hollow proxies the block has.
     pub count: usize,
-    /// The voters.
+    /// Names and fleet addresses of the voters.
     pub voters: Vec<(String, SocketAddr)>,
-    /// The stated time T, ms.
+    /// The configured bound T on how long two contradicting versions may be acted on together, ms.
     pub bound_ms: u64,
     /// The shared key, 64 hexadecimal digits.
     pub key: String,
-    /// What is wrong with them.
+    /// The deliberate defect of the proxies, if any.
     pub defect: Option<Defect>,
 }
 
-/// Messages and their bytes.
+/// A count of messages and of their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
     /// Messages.
     pub messages: u64,
-    /// Bytes of their bodies.
+    /// Bytes of the message bodies.
     pub bytes: u64,
 }
 
@@ -68,55 +68,55 @@
         self.bytes += bytes as u64;
     }
 
-    /// What has come since an earlier count.
+    /// The difference from an earlier count.
     pub fn since(self, before: Traffic) -> Traffic {
         Traffic { messages: self.messages - before.messages, bytes: self.bytes - before.bytes }
     }
 }
 
-/// What is counted over all hollow proxies of a process.
+/// Counters over all hollow proxies of a process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Tally {
     /// Hollow proxies.
     pub proxies: usize,
     /// Membership messages sent.
     pub membership: Traffic,
-    /// Questions for a lease.
+    /// Distinct lease requests.
     pub questions: u64,
-    /// The same as they were sent, copies included.
+    /// Lease requests sent, repeats and copies to other voters included.
     pub asks: Traffic,
-    /// Rulebooks that were asked for.
+    /// Rulebook requests sent.
     pub fetches: Traffic,
-    /// Answers that brought a lease.
+    /// Lease grants received.
     pub grants: Traffic,
-    /// Words that something else stands.
+    /// Notices received that another version is in force.
     pub news: Traffic,
-    /// Rulebooks that came.
+    /// Rulebooks received.
     pub books: Traffic,
-    /// Whatever else was said about rules, either way.
+    /// All other messages on the rules channel, sent or received.
     pub other: Traffic,
-    /// Bytes on the links, seals and proofs included, both ways.
+    /// Bytes on the links, the authentication of frames and connections included, in both directions.
     pub link_bytes: u64,
-    /// Links that are up, counted at each end.
+    /// Links that are up, counted once at each end.
     pub links: usize,
-    /// Members that the one which knows the fewest knows.
+    /// The smallest number of members that any of the proxies knows.
     pub fewest_members: usize,
-    /// Times that a proxy which had a lease was without one.
+    /// How often a proxy lost its lease.
     pub leases_lost: u64,
-    /// Proxies that began to act on each version.
+    /// By version, the number of proxies that began to act on it.
     pub acting: BTreeMap<Version, usize>,
-    /// When each of them began to act on the latest version, µs of Unix time.
+    /// Times at which proxies began to act on a version since the last tally, µs of Unix time.
     pub latest: Vec<u64>,
-    /// How far the log had been applied, by the answer that was furthest on.
+    /// The highest applied log index that any lease grant reported.
     pub log_index: u64,
-    /// Processor time of this process so far, µs.
+    /// Processor time of the process so far, µs.
     pub cpu_us: u64,
-    /// Peak of its resident memory, KiB.
+    /// Peak resident memory of the process, KiB.
     pub peak_kib: u64,
 }
 
 impl Tally {
-    /// Adds another process's.
+    /// Adds the counters of another process.
     pub fn merge(&mut self, other: Tally) {
         self.proxies += other.proxies;
         let pairs = [
@@ -150,7 +150,7 @@
     }
 }
 
-/// Time since the first look at it in this process.
+/// Time since the first call of this function in the process.
 fn now() -> Duration {
     static START: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
     START.get_or_init(Instant::now).elapsed()
@@ -171,8 +171,8 @@
     defect: Option<Defect>,
     tally: Rc<RefCell<Tally>>,
     has_lease: bool,
-    /// The number of the question asked last.
-    asked: Option<u64>,
+    /// The number of the latest lease request.
+    last_request: Option<u64>,
 }
 
 impl Hollow {
@@ -181,16 +181,16 @@
     ) -> std::io::Result<Rc<RefCell<Self>>> {
         let name = format!("hollow{number}");
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (sender, incoming) = mpsc::channel(INCOMING);
+        let (sender, incoming) = mpsc::channel(INCOMING_CAPACITY);
         let links = Links::new(key, name.clone(), sender);
         let terms = super::terms(Duration::from_millis(setup.bound_ms));
-        let chance = fastrand::Rng::with_seed(unix_us().wrapping_add(number as u64)).u64(1..);
+        let seed = fastrand::Rng::with_seed(unix_us().wrapping_add(number as u64)).u64(1..);
         let address = listener.local_addr()?;
         let me = Identity { name: name.clone(), address, incarnation: unix_us(), zone: None };
         tokio::task::spawn_local(links.clone().serve(listener));
         Ok(Rc::new(RefCell::new(Hollow {
-            agent: Agent::new(now(), &name, terms, setup.voters.clone(), chance),
-            members: Members::new(me, Pace::default(), chance),
+            agent: Agent::new(now(), &name, terms, setup.voters.clone(), seed),
+            members: Members::new(me, Pace::default(), seed),
             name,
             links,
             incoming,
@@ -198,33 +198,33 @@
             defect: setup.defect,
             tally,
             has_lease: false,
-            asked: None,
+            last_request: None,
         })))
     }
 
     fn join(&mut self) {
         for (voter, address) in self.voters.clone() {
             let gossip = self.members.join(now(), &voter, address);
-            self.gossip(gossip);
+            self.send_gossip(gossip);
         }
     }
 
-    fn wait(&self) -> Duration {
+    fn timer_wait(&self) -> Duration {
         let due = self.agent.next_due();
         let due = self.members.next_due().map_or(due, |at| at.min(due));
-        due.saturating_sub(now()).min(LONGEST_WAIT)
+        due.saturating_sub(now()).min(MAX_TIMER_WAIT)
     }
 
-    fn fire(&mut self) {
+    fn run_due_timers(&mut self) {
         let at = now();
         let gossip = self.members.fire(at);
-        self.gossip(gossip);
+        self.send_gossip(gossip);
         if self.agent.next_due() <= at {
             let others = self.members.present().into_iter().map(|m| m.name);
             self.agent.present(others.filter(|name| *name != self.name).collect());
             self.agent.fire(at);
         }
-        self.carry_out();
+        self.handle_outputs();
         let has_lease = self.agent.take(now()).is_some();
         if self.has_lease && !has_lease {
             self.tally.borrow_mut().leases_lost += 1;
@@ -232,24 +232,24 @@
         self.has_lease = has_lease;
     }
 
-    fn hear(&mut self, incoming: Incoming) {
+    fn receive(&mut self, incoming: Incoming) {
         let Incoming { from, channel, body } = incoming;
         match channel {
             MEMBERSHIP_CHANNEL => {
                 let gossip = self.members.hear(now(), &body);
-                self.gossip(gossip);
+                self.send_gossip(gossip);
             }
             RULES_CHANNEL => {
                 let Some(word) = Word::decode(&body) else { return };
-                self.count_heard(&word, body.len());
+                self.count_received(&word, body.len());
                 self.agent.hear(now(), &from, word);
-                self.carry_out();
+                self.handle_outputs();
             }
             _ => {}
         }
     }
 
-    fn count_heard(&self, word: &Word, bytes: usize) {
+    fn count_received(&self, word: &Word, bytes: usize) {
         let mut tally = self.tally.borrow_mut();
         if let Word::Grant(grant) = word {
             tally.log_index = tally.log_index.max(grant.standing.index);
@@ -263,7 +263,7 @@
         traffic.add(bytes);
     }
 
-    fn count_said(&self, word: &Word, bytes: usize) {
+    fn count_sent(&self, word: &Word, bytes: usize) {
         let mut tally = self.tally.borrow_mut();
         let traffic = match word {
             Word::Ask(_) => &mut tally.asks,
@@ -273,29 +273,29 @@
         traffic.add(bytes);
     }
 
-    fn gossip(&mut self, all: Vec<Gossip>) {
+    fn send_gossip(&mut self, all: Vec<Gossip>) {
         for Gossip { to, bytes } in all {
             self.tally.borrow_mut().membership.add(bytes.len());
             self.links.send(&to.name, Some(to.address), MEMBERSHIP_CHANNEL, bytes);
         }
     }
 
-    fn carry_out(&mut self) {
+    fn handle_outputs(&mut self) {
         while let Some(output) = self.agent.poll() {
             match output {
-                Output::Say(to, address, word) => self.say(&to, address, &word),
+                Output::Say(to, address, word) => self.send(&to, address, &word),
                 Output::Check(version, _) => self.agent.checked(now(), version, Ok(())),
-                Output::Act(version, _) => self.act(version),
+                Output::Act(version, _) => self.record_acting(version),
                 Output::Write(_) | Output::Turn(_) | Output::Told(_) | Output::Note(_) => {}
             }
         }
     }
 
-    fn say(&mut self, to: &str, address: Option<SocketAddr>, word: &Word) {
+    fn send(&mut self, to: &str, address: Option<SocketAddr>, word: &Word) {
         let bytes = word.encode();
         if let Word::Ask(ask) = word
             && ask.origin.is_none()
-            && self.asked.replace(ask.number) != Some(ask.number)
+            && self.last_request.replace(ask.number) != Some(ask.number)
         {
             self.tally.borrow_mut().questions += 1;
         }
@@ -305,39 +305,39 @@
             }
             _ => Vec::new(),
         };
-        let known = address.or_else(|| self.members.find(to).map(|m| m.address));
-        self.count_said(word, bytes.len());
-        self.links.send(to, known, RULES_CHANNEL, bytes.clone());
+        let known_address = address.or_else(|| self.members.find(to).map(|m| m.address));
+        self.count_sent(word, bytes.len());
+        self.links.send(to, known_address, RULES_CHANNEL, bytes.clone());
         for (voter, address) in copies {
-            self.count_said(word, bytes.len());
+            self.count_sent(word, bytes.len());
             self.links.send(&voter, Some(address), RULES_CHANNEL, bytes.clone());
         }
     }
 
-    fn act(&self, version: Version) {
+    fn record_acting(&self, version: Version) {
         let mut tally = self.tally.borrow_mut();
         *tally.acting.entry(version).or_default() += 1;
         tally.latest.push(unix_us());
     }
 }
 
-async fn run(hollow: Rc<RefCell<Hollow>>) {
-    // The receiver is taken out, so that nothing is borrowed while it waits.
+async fn run_proxy(hollow: Rc<RefCell<Hollow>>) {
+    // The receiver is moved out, so that the `RefCell` is not borrowed while waiting for messages.
     let (_, closed) = mpsc::channel(1);
     let mut incoming = std::mem::replace(&mut hollow.borrow_mut().incoming, closed);
     hollow.borrow_mut().join();
     loop {
-        let wait = hollow.borrow().wait();
+        let wait = hollow.borrow().timer_wait();
         tokio::select! {
             Some(next) = incoming.recv() => {
-                hollow.borrow_mut().hear(next);
+                hollow.borrow_mut().receive(next);
                 while let Ok(more) = incoming.try_recv() {
-                    hollow.borrow_mut().hear(more);
+                    hollow.borrow_mut().receive(more);
                 }
             }
             () = sleep(wait) => {}
         }
-        hollow.borrow_mut().fire();
+        hollow.borrow_mut().run_due_timers();
     }
 }
 
@@ -348,28 +348,28 @@
 }
 
 impl Block {
-    /// Starts them, on the calling task's thread.
+    /// Starts the block on the calling task's thread.
     ///
     /// # Errors
-    /// The system's, or a key that is none.
+    /// An I/O error, or a key that can't be parsed.
     pub async fn start(setup: &BlockSetup) -> std::io::Result<Self> {
         let key = Key::parse(&setup.key).map_err(|e| std::io::Error::other(e.to_string()))?;
         let tally = Rc::new(RefCell::new(Tally::default()));
         let mut hollows = Vec::new();
         for number in setup.first..setup.first + setup.count {
             let hollow = Hollow::start(setup, key.clone(), number, tally.clone()).await?;
-            tokio::task::spawn_local(run(hollow.clone()));
+            tokio::task::spawn_local(run_proxy(hollow.clone()));
             hollows.push(hollow);
         }
         Ok(Block { hollows, tally })
     }
 
-    /// How many they are.
+    /// The number of hollow proxies in the block.
     pub fn proxies(&self) -> usize {
         self.hollows.len()
     }
 
-    /// What has been counted so far. Times at which the latest version was acted on are forgotten.
+    /// The counters so far. Clears [`Tally::latest`], so that each time is reported once.
     pub fn tally(&self) -> Tally {
         let latest = std::mem::take(&mut self.tally.borrow_mut().latest);
         let mut tally = Tally { latest, ..self.tally.borrow().clone() };
--- a/crates/sandgap-rig/src/scale/report.rs
+++ b/crates/sandgap-rig/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a play came to, for each proxy and each voter.
+//! The results of a run, per proxy and per voter.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,109 +6,111 @@
 use serde::Serialize;
 
 use super::hollow::{Tally, Traffic};
-use super::{Fault, Moment, Setup};
+use super::{FaultResult, Setup, Snapshot};
 
 /// One change of the rules.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Change {
-    /// By proxy, from the shortest: how long after it was published it was acted on, µs.
+    /// For each proxy, in ascending order: the time from the start of the publication until it acted on the change, µs.
     pub after_us: Vec<u64>,
 }
 
 impl Change {
-    /// The time by which this part of the proxies acted, ms.
-    fn by(&self, part: f64) -> f64 {
+    /// The time by which this fraction of the proxies acted on the change, ms.
+    fn quantile_ms(&self, fraction: f64) -> f64 {
         let last = self.after_us.len().saturating_sub(1);
-        self.after_us.get((last as f64 * part).ceil() as usize).map_or(f64::NAN, |us| *us as f64 / 1000.0)
+        self.after_us.get((last as f64 * fraction).ceil() as usize).map_or(f64::NAN, |us| *us as f64 / 1000.0)
     }
 }
 
-/// What one voter used while nothing changed.
+/// What one voter used while nothing idle_start published.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct VoterCost {
-    /// Part of a core.
+    /// Fraction of a core.
     pub core: f64,
-    /// Peak memory so far, KiB.
+    /// Peak memory by the end of the measured changes, KiB.
     pub peak_kib: u64,
-    /// Bytes to disk a second.
+    /// Bytes written to disk per second.
     pub written_a_second: f64,
 }
 
-/// What a play came to.
+/// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Hollow proxies.
     pub proxies: usize,
-    /// Until all acted on the first version, s.
+    /// Time until all proxies acted on the first version, s.
     pub settled_s: f64,
-    /// Members that the proxy knew which knew the fewest, after the idle span.
+    /// The smallest number of members that any proxy knew after the idle time.
     pub fewest_members: usize,
-    /// For each proxy while nothing changed: bytes a second on its links, both ways.
+    /// Bytes per second on a proxy's links, in both directions, while nothing idle_start published; likewise the figures below.
     pub bytes_a_second: f64,
-    /// The same of membership messages alone, sent.
+    /// Bytes of membership messages sent per second by a proxy.
     pub membership_bytes_a_second: f64,
-    /// Membership messages sent a second.
+    /// Membership messages sent per second by a proxy.
     pub membership_a_second: f64,
-    /// Questions for a lease a second.
+    /// Lease requests sent per second by a proxy.
     pub asks_a_second: f64,
-    /// Links that are up.
+    /// Links of a proxy that are up.
     pub links: f64,
-    /// Part of a core, as hollow proxies share processes.
+    /// Fraction of a core that a proxy uses; hollow proxies share processes.
     pub core: f64,
-    /// Peak memory of their processes, KiB for each proxy.
+    /// Peak memory of the hollow proxies' processes divided by the number of proxies, KiB.
     pub peak_kib: f64,
-    /// Leases lost over the whole play.
+    /// Leases lost from the start to the end of the measured changes.
     pub leases_lost: u64,
-    /// By voter.
+    /// The cost of each voter.
     pub voters: Vec<VoterCost>,
-    /// Bytes a second between voters.
+    /// Bytes per second between voters.
     pub between_voters: f64,
-    /// Copies of each question that were sent.
+    /// Copies sent of each lease request.
     pub copies_a_question: f64,
-    /// For each change and proxy: rulebooks that were asked for and that came, and words that something else stands.
+    /// Rulebook requests sent per change and proxy.
     pub fetches_a_change: f64,
-    /// See there.
+    /// Rulebooks received per change and proxy.
     pub books_a_change: f64,
-    /// See there.
+    /// Notices received per change and proxy that another version is in force.
     pub news_a_change: f64,
-    /// Entries of the log for each change.
+    /// Log entries per change.
     pub entries_a_change: f64,
-    /// Bytes of a rulebook that came.
+    /// Bytes of a received rulebook.
     pub book_bytes: f64,
-    /// All changes.
+    /// All measured changes.
     pub changes: Vec<Change>,
-    /// All faults.
-    pub faults: Vec<Fault>,
+    /// The results of all faults.
+    pub faults: Vec<FaultResult>,
 }
 
 impl Report {
-    /// The longest time until this part of the proxies acted on a change, ms.
-    pub fn in_force_ms(&self, part: f64) -> f64 {
-        self.changes.iter().map(|c| c.by(part)).fold(0.0, f64::max)
+    /// The longest time, over all changes, until this fraction of the proxies acted on one, ms.
+    pub fn in_force_ms(&self, fraction: f64) -> f64 {
+        self.changes.iter().map(|c| c.quantile_ms(fraction)).fold(0.0, f64::max)
     }
 
-    /// Part of a core that all voters use together.
+    /// Processor use of all voters together, in cores.
     pub fn voters_core(&self) -> f64 {
         self.voters.iter().map(|v| v.core).sum()
     }
 }
 
-fn per(traffic: Traffic, divisor: f64) -> (f64, f64) {
+/// Messages and bytes, each over the divisor.
+fn per_unit(traffic: Traffic, divisor: f64) -> (f64, f64) {
     (traffic.messages as f64 / divisor, traffic.bytes as f64 / divisor)
 }
 
+/// Computes the report from the counters before and after the idle time and after the changes.
 pub(super) fn compile(
-    setup: &Setup, settled: Duration, [before, after, end]: [Moment; 3], changes: Vec<Change>,
-    faults: Vec<Fault>,
+    setup: &Setup, settled: Duration, [before, after, end]: [Snapshot; 3], changes: Vec<Change>,
+    faults: Vec<FaultResult>,
 ) -> Report {
     let seconds = (after.at - before.at).as_secs_f64();
     let proxies = setup.hollows as f64;
     let proxy_seconds = proxies * seconds;
-    let (was, is, last): (&Tally, &Tally, &Tally) = (&before.tally, &after.tally, &end.tally);
-    let membership = per(is.membership.since(was.membership), proxy_seconds);
+    let (idle_start, idle_end, last): (&Tally, &Tally, &Tally) = (&before.tally, &after.tally, &end.tally);
+    let membership = per_unit(idle_end.membership.since(idle_start.membership), proxy_seconds);
     let questions = last.questions.max(1) as f64;
     let proxy_changes = proxies * setup.changes.max(1) as f64;
-    let books = last.books.since(is.books);
+    let books = last.books.since(idle_end.books);
     let voter = |n: usize| VoterCost {
         core: (after.voters[n].cpu_us - before.voters[n].cpu_us) as f64 / 1e6 / seconds,
         peak_kib: end.voters[n].peak_kib,
@@ -117,22 +119,22 @@
     Report {
         proxies: setup.hollows,
         settled_s: settled.as_secs_f64(),
-        fewest_members: is.fewest_members,
-        bytes_a_second: (is.link_bytes - was.link_bytes) as f64 / proxy_seconds,
+        fewest_members: idle_end.fewest_members,
+        bytes_a_second: (idle_end.link_bytes - idle_start.link_bytes) as f64 / proxy_seconds,
         membership_a_second: membership.0,
         membership_bytes_a_second: membership.1,
-        asks_a_second: per(is.asks.since(was.asks), proxy_seconds).0,
-        links: is.links as f64 / proxies,
-        core: (is.cpu_us - was.cpu_us) as f64 / 1e6 / proxy_seconds,
+        asks_a_second: per_unit(idle_end.asks.since(idle_start.asks), proxy_seconds).0,
+        links: idle_end.links as f64 / proxies,
+        core: (idle_end.cpu_us - idle_start.cpu_us) as f64 / 1e6 / proxy_seconds,
         peak_kib: last.peak_kib as f64 / proxies,
         leases_lost: last.leases_lost,
         voters: (0..setup.voters).map(voter).collect(),
         between_voters: (after.between_voters - before.between_voters) as f64 / seconds,
         copies_a_question: last.asks.messages as f64 / questions,
-        fetches_a_change: per(last.fetches.since(is.fetches), proxy_changes).0,
-        books_a_change: per(books, proxy_changes).0,
-        news_a_change: per(last.news.since(is.news), proxy_changes).0,
-        entries_a_change: (last.log_index - is.log_index) as f64 / setup.changes.max(1) as f64,
+        fetches_a_change: per_unit(last.fetches.since(idle_end.fetches), proxy_changes).0,
+        books_a_change: per_unit(books, proxy_changes).0,
+        news_a_change: per_unit(last.news.since(idle_end.news), proxy_changes).0,
+        entries_a_change: (last.log_index - idle_end.log_index) as f64 / setup.changes.max(1) as f64,
         book_bytes: books.bytes as f64 / books.messages.max(1) as f64,
         changes,
         faults,
@@ -143,13 +145,13 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         writeln!(
             f,
-            "{} hollow proxies, settled after {:.1} s, each knows {} members or more",
+            "{} hollow proxies, all on the first version after {:.1} s, each knows at least {} members",
             self.proxies, self.settled_s, self.fewest_members
         )?;
         writeln!(
             f,
-            "  a proxy: {:.0} bytes/s on {:.1} links, of which membership sends {:.0} in {:.2} messages/s; \
-             {:.2} questions/s; {:.2}% of a core, {:.0} KiB",
+            "  per proxy: {:.0} bytes/s on {:.1} links, of which membership sends {:.0} in {:.2} messages/s; \
+             {:.2} lease requests/s; {:.2}% of a core, {:.0} KiB",
             self.bytes_a_second,
             self.links,
             self.membership_bytes_a_second,
@@ -174,7 +176,7 @@
         )?;
         writeln!(
             f,
-            "  {} changes: in force at half after {:.0} ms, at 99% after {:.0} ms, everywhere after {:.0} ms",
+            "  {} changes: in force at 50% after {:.0} ms, at 99% after {:.0} ms, everywhere after {:.0} ms",
             self.changes.len(),
             self.in_force_ms(0.5),
             self.in_force_ms(0.99),
@@ -182,8 +184,8 @@
         )?;
         write!(
             f,
-            "  counts: {:.2} copies a question; a change and proxy: {:.2} fetches, {:.2} books of {:.0} bytes, \
-             {:.2} news; {:.1} entries a change",
+            "  counts: {:.2} copies per lease request; per change and proxy: {:.2} rulebook requests, \
+             {:.2} rulebooks of {:.0} bytes, {:.2} version notices; {:.1} log entries per change",
             self.copies_a_question,
             self.fetches_a_change,
             self.books_a_change,
@@ -194,10 +196,10 @@
         for fault in &self.faults {
             write!(
                 f,
-                "\n  {}: a change in force at half after {:.0} ms, everywhere after {:.0} ms; {} of {} proxies' leases lost",
+                "\n  {}: change in force at 50% after {:.0} ms, everywhere after {:.0} ms; {} leases lost over {} running proxies",
                 fault.what,
-                fault.change.by(0.5),
-                fault.change.by(1.0),
+                fault.change.quantile_ms(0.5),
+                fault.change.quantile_ms(1.0),
                 fault.leases_lost,
                 fault.proxies
             )?;
--- a/crates/sandgap-rig/src/scale/books.rs
+++ b/crates/sandgap-rig/src/scale/rulebook_size.rs
@@ -1,4 +1,4 @@
-//! What a rulebook takes on the wire, by the numbers of what it names.
+//! The encoded size of a rulebook, by the number of backends, tenants and classes in it.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -7,30 +7,31 @@
 use sandgap_agree::rulebook::{Backend, BookError, Class, Effect, Limits, OnLapse, Tenant};
 use serde::Serialize;
 
-/// Numbers of what a rulebook names.
+/// How many entries of each kind a rulebook has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Numbers {
+pub struct Counts {
     /// Backends.
     pub backends: usize,
     /// Tenants.
     pub tenants: usize,
-    /// Classes: services, in effect.
+    /// Classes; in practice one for each service.
     pub classes: usize,
 }
 
-/// Bytes of a rulebook with names as long as the operators', also where it is too large to be published.
+/// The encoded size, in bytes, of a rulebook with names as long as the operators'; also for one that is too large to be
+/// published.
 ///
 /// # Errors
-/// Where it can't be encoded.
-pub fn bytes(numbers: Numbers) -> Result<usize, BookError> {
-    match book(numbers).encode() {
+/// A rulebook that can't be encoded.
+pub fn encoded_size(counts: Counts) -> Result<usize, BookError> {
+    match rulebook(counts).encode() {
         Ok(bytes) => Ok(bytes.len()),
         Err(BookError::Large(bytes)) => Ok(bytes),
         Err(e) => Err(e),
     }
 }
 
-fn book(numbers: Numbers) -> Rulebook {
+fn rulebook(counts: Counts) -> Rulebook {
     let limits = Limits {
         max_attempts: 3,
         over_share_worth: 0.2,
@@ -41,11 +42,11 @@
         fall_ms: 1500.0,
     };
     Rulebook {
-        classes: (0..numbers.classes).map(class).collect(),
-        tenants: (0..numbers.tenants)
+        classes: (0..counts.classes).map(class).collect(),
+        tenants: (0..counts.tenants)
             .map(|n| Tenant { name: format!("tenant-{n:06}"), allowance_per_s: 100.0 })
             .collect(),
-        backends: Some((0..numbers.backends).map(backend).collect()),
+        backends: Some((0..counts.backends).map(backend).collect()),
         drained: BTreeSet::new(),
         limits,
     }
@@ -81,11 +82,16 @@
     use super::*;
 
     #[test]
-    fn what_a_book_takes_grows_by_what_it_names() {
-        let of = |backends, tenants| bytes(Numbers { backends, tenants, classes: 3 }).expect("plain data");
+    fn encoded_size_grows_with_the_number_of_entries() {
+        let of = |backends, tenants| {
+            encoded_size(Counts { backends, tenants, classes: 3 }).expect("the rulebook can be encoded")
+        };
         let (none, some, many) = (of(0, 0), of(100, 0), of(30_000, 0));
         let each = (some - none) as f64 / 100.0;
-        assert!((many - none) as f64 / 30_000.0 < each * 1.1, "also beyond what can be published");
+        assert!(
+            (many - none) as f64 / 30_000.0 < each * 1.1,
+            "the size stays linear beyond the largest rulebook that can be published"
+        );
         assert!(of(0, 100) > none);
     }
 }
