--- a/crates/sandgap-rig/src/bench.rs
+++ b/crates/sandgap-rig/src/bench.rs
@@ -1,5 +1,5 @@
-//! What the proxy costs: open-loop load at a stated rate, one proxy bound to one processor, in turn with the bare
-//! relay, so that each ratio comes from two runs next to each other.
+//! The proxy's cost: open-loop load at a fixed rate on one proxy that is bound to one processor, in alternation with the
+//! bare relay, so that each ratio comes from two successive runs.
 
 use std::fmt;
 
@@ -16,25 +16,25 @@
 use crate::run::{Folder, RunError, Stage};
 use crate::schedule::{Plan, Size, scenario};
 
-/// Part of the load that warms up and is not counted.
-const WARM: usize = 5;
+/// One in so many of the requests warms up the proxy and is not counted.
+const WARM_UP_DIVISOR: usize = 5;
 
-/// What is measured.
+/// The setup of a comparison.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// Length of each run, s.
     pub seconds: f64,
-    /// Backends, each of which takes any number of requests at once.
+    /// Number of backends; each serves any number of requests at once.
     pub backends: usize,
-    /// What each request takes there, ms.
+    /// Service time of each request at its backend, ms.
     pub work_ms: f64,
-    /// What the list says of each backend's size.
+    /// Size of each backend in the discovery list.
     pub share: f64,
-    /// Pairs of runs.
+    /// Number of pairs of runs.
     pub pairs: usize,
-    /// The processor of the proxies; the rig itself keeps off it.
+    /// The processor to which the proxies are bound; the rig itself runs on the others.
     pub cpu: usize,
     /// Seed of the load.
     pub seed: u64,
@@ -43,24 +43,24 @@
 /// One run's figures.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Cost {
-    /// Served of what was asked.
+    /// Fraction of the requests that were served.
     pub served: f64,
-    /// Latency of served answers, ms.
+    /// Median latency of served requests, ms.
     pub p50_ms: f64,
-    /// Its 99th percentile.
+    /// 99th percentile of that latency, ms.
     pub p99_ms: f64,
-    /// Its 99.9th percentile.
+    /// 99.9th percentile of that latency, ms.
     pub p999_ms: f64,
-    /// Processor time a request, µs.
+    /// Processor time per request, µs.
     pub cpu_us: f64,
     /// Peak resident memory, KiB.
     pub peak_kib: f64,
 }
 
-/// Runs of the proxy and of the relay, pair by pair.
+/// The figures of the proxy and of the relay, pair by pair.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// The proxy's and the relay's, in the order in which they ran.
+    /// The proxy's and the relay's figures of each pair, in the order of the runs.
     pub pairs: Vec<(Cost, Cost)>,
 }
 
@@ -71,7 +71,7 @@
         proxies: 1,
         backends: setup.backends,
     };
-    let mut plan = scenario("calm").expect("it is on the list").plan(setup.seed, size);
+    let mut plan = scenario("calm").expect("calm is a known scenario").plan(setup.seed, size);
     plan.machines.fill(Build { cores: 0, speed: 1.0, queue: 0, share: setup.share });
     for request in &mut plan.requests {
         request.work_ms = setup.work_ms;
@@ -80,7 +80,7 @@
     plan
 }
 
-fn one(setup: &Setup, program: &Program, name: &str) -> Result<Cost, RunError> {
+fn run_once(setup: &Setup, program: &Program, name: &str) -> Result<Cost, RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let logs = Folder::new(&format!("bench-{name}-{}", std::process::id()))?;
     let program = Program { cpu: Some(setup.cpu), ..program.clone() };
@@ -89,7 +89,7 @@
         stage.start().await?;
         let (world, front, proxy) = (&stage.world, &stage.front, &stage.proxies[0]);
         let begin = world.now();
-        let warm = world.plan.requests.len() / WARM;
+        let warm = world.plan.requests.len() / WARM_UP_DIVISOR;
         let (mut cpu, mut ends) = (0.0, [0; 3]);
         for (n, request) in world.plan.requests.iter().enumerate() {
             sleep_until(world.clock.instant(begin + request.at)).await;
@@ -116,10 +116,10 @@
     })
 }
 
-/// Measures both in turn.
+/// Measures the proxy and the relay in alternation.
 ///
 /// # Errors
-/// Whatever kept a run from its end.
+/// Whatever prevents a run from finishing.
 pub fn compare(setup: &Setup, proxy: &Program, relay: &Program) -> Result<Comparison, RunError> {
     let processors = std::thread::available_parallelism()?.get();
     if processors > 1 {
@@ -129,7 +129,7 @@
     }
     let mut pairs = Vec::new();
     for _ in 0..setup.pairs {
-        pairs.push((one(setup, proxy, "proxy")?, one(setup, relay, "relay")?));
+        pairs.push((run_once(setup, proxy, "proxy")?, run_once(setup, relay, "relay")?));
     }
     Ok(Comparison { pairs })
 }
--- a/crates/sandgap-rig/src/demo.rs
+++ b/crates/sandgap-rig/src/demo.rs
@@ -1,5 +1,5 @@
-//! A demonstration: a few backends, one proxy, a steady load, one backend that hangs and one that drains, a line
-//! each second, and the ledger's verdict.
+//! A demonstration: one proxy and a few backends under steady load, of which one hangs and one drains. It prints a line
+//! of figures each second, and ends with the ledger's verdict.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,26 +13,26 @@
 use crate::run::{Folder, RunError, Stage};
 use crate::schedule::{Size, scenario};
 
-/// Backends of the demonstration.
+/// Number of backends at the start.
 const BACKENDS: usize = 6;
 
-/// Plays it for `seconds` at `rate` requests a second, with its lines on standard output.
+/// Runs the demonstration for `seconds` at `rate` requests per second and prints to standard output.
 ///
 /// # Errors
-/// Whatever makes a verdict impossible.
+/// Whatever prevents a verdict.
 pub fn play(program: &Program, rate: f64, seconds: f64, seed: u64) -> Result<Verdict, RunError> {
     let size = Size { requests: (rate * seconds) as usize, rate, proxies: 1, backends: BACKENDS };
-    let plan = scenario("demo").expect("it is on the list").plan(seed, size);
+    let plan = scenario("demo").expect("demo is a known scenario").plan(seed, size);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut logs = Folder::new(&format!("demo-{}", std::process::id()))?;
     let played = LocalSet::new().block_on(&runtime, async {
         let stage = Stage::set(plan, Ledger::default(), program, &logs, false).await?;
         stage.start().await?;
         println!("a proxy at {}, {BACKENDS} backends, seed {seed}", stage.proxies[0].place.listen);
-        println!("{HEAD}");
-        let teller = spawn_local(tell(stage.clone()));
+        println!("{HEADINGS}");
+        let printer = spawn_local(print_each_second(stage.clone()));
         let played = stage.play().await;
-        teller.abort();
+        printer.abort();
         played.map(|()| stage.verdict())
     });
     if played.is_err() {
@@ -41,16 +41,18 @@
     played
 }
 
-const HEAD: &str = "  s   asked/s  served  refused  failed  p50 ms  p99 ms   up  draining  left out";
+/// The column headings of the lines.
+const HEADINGS: &str = "  s   asked/s  served  refused  failed  p50 ms  p99 ms   up  draining  left out";
 
-/// A line each second. A backend is left out when it is up on the list and was sent nothing within the second.
-async fn tell(stage: Rc<Stage>) {
-    let mut beat = interval(Duration::from_secs(1));
-    beat.set_missed_tick_behavior(MissedTickBehavior::Skip);
-    beat.tick().await;
+/// Prints a line of figures each second. The column "left out" counts the backends that are up on the discovery list and
+/// handled no request within that second.
+async fn print_each_second(stage: Rc<Stage>) {
+    let mut ticks = interval(Duration::from_secs(1));
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
+    ticks.tick().await;
     let (mut ends, mut handled) = ([0; 3], vec![0; BACKENDS + 1]);
     for second in 1.. {
-        beat.tick().await;
+        ticks.tick().await;
         let now = stage.front.ends.get();
         let [served, refused, failed] = std::array::from_fn(|i| now[i] - ends[i]);
         ends = now;
@@ -59,13 +61,13 @@
         let (up, draining) = stage.discovery.census();
         let backends = stage.backends.borrow();
         handled.resize(backends.len(), 0);
-        let mut idle = 0;
+        let mut left_out = 0;
         for (before, b) in handled.iter_mut().zip(backends.iter()) {
-            idle += usize::from(*before == b.handled() && stage.discovery.is_up(b));
+            left_out += usize::from(*before == b.handled() && stage.discovery.is_up(b));
             *before = b.handled();
         }
         println!(
-            "{second:>3}  {:>8}  {served:>6}  {refused:>7}  {failed:>6}  {:>6.1}  {:>6.1}  {up:>3}  {draining:>8}  {idle:>8}",
+            "{second:>3}  {:>8}  {served:>6}  {refused:>7}  {failed:>6}  {:>6.1}  {:>6.1}  {up:>3}  {draining:>8}  {left_out:>8}",
             served + refused + failed,
             at(0.5),
             at(0.99),
--- a/crates/sandgap-rig/src/export.rs
+++ b/crates/sandgap-rig/src/export.rs
@@ -1,5 +1,5 @@
-//! The same scenario for the laboratory: its servers as an experiment file, its requests as a recorded load. What
-//! sockets do and what the model does can so be held against each other.
+//! Exports a scenario for `sandgap-lab`: its servers as an experiment file and its requests as a recorded load, so that
+//! results on real sockets can be compared with those of the simulator.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -8,17 +8,18 @@
 
 use crate::schedule::{Plan, TENANTS, WINDOW_MS};
 
-/// Writes `experiment.toml` and `load.csv`. Faults are not exported: a plain scenario is what can be compared.
+/// Writes `experiment.toml` and `load.csv` to a folder. Faults are not exported: only scenarios without them can be
+/// compared.
 ///
 /// # Errors
 /// A folder that can't be written to.
 pub fn write(plan: &Plan, folder: &Path) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    std::fs::write(folder.join("load.csv"), load(plan))?;
-    std::fs::write(folder.join("experiment.toml"), experiment(plan))
+    std::fs::write(folder.join("load.csv"), load_csv(plan))?;
+    std::fs::write(folder.join("experiment.toml"), experiment_toml(plan))
 }
 
-fn load(plan: &Plan) -> String {
+fn load_csv(plan: &Plan) -> String {
     let mut csv = String::from("at_ms,class,tenant,work_ms,timeout_ms\n");
     for r in &plan.requests {
         let _ = writeln!(
@@ -34,7 +35,7 @@
     csv
 }
 
-fn experiment(plan: &Plan) -> String {
+fn experiment_toml(plan: &Plan) -> String {
     let seconds = plan.requests.last().map_or(1.0, |r| r.at as f64 / 1e6 + 0.001);
     let mut toml = format!(
         "name = \"{} seed {}, as the rig plays it\"\nseconds = {seconds}\nwarm_seconds = 0\nrepetitions = 1\n\
@@ -79,7 +80,7 @@
     toml
 }
 
-/// The kind that the stand-in discovery tells for a machine of this speed.
+/// The kind that the rig's discovery service reports for a machine of this speed.
 pub fn kind(speed: f64) -> &'static str {
     if speed > 1.2 { "large" } else { "small" }
 }
--- a/crates/sandgap-rig/src/machine.rs
+++ b/crates/sandgap-rig/src/machine.rs
@@ -1,45 +1,45 @@
-//! A backend's machine, as a model without I/O: cores that work through requests in turn, a short queue, a cold
-//! start that falls over when it is pushed.
+//! A model of a backend's machine without I/O: cores that serve requests in order of arrival, a short queue, and a cold
+//! start during which overload makes the machine fail.
 
 use std::collections::VecDeque;
 
-/// Milliseconds of the run.
+/// Milliseconds since the start of the run.
 pub type Ms = f64;
 
-/// What a machine is like.
+/// The properties of a machine.
 #[derive(Clone, Debug)]
 pub struct Build {
-    /// Cores; 0 for a machine that takes any number of requests at once.
+    /// Number of cores; 0 for a machine that serves any number of requests at once.
     pub cores: usize,
-    /// Work done per millisecond and core.
+    /// Milliseconds of work done per millisecond and core; 1 for a standard core.
     pub speed: f64,
     /// Requests that may wait for a core.
     pub queue: usize,
-    /// What the list says of its size; it may be wrong.
+    /// Its size in the discovery list, which may be wrong.
     pub share: f64,
 }
 
-/// The figures of the rule on cold backends.
+/// The parameters of the rule on cold backends.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdRule {
-    /// Part of its capacity that a fresh machine has.
+    /// Fraction of its capacity that a machine has when it starts.
     pub start: f64,
-    /// Span after which it has all of it.
+    /// Time after which it has its full capacity, ms.
     pub warm_ms: Ms,
-    /// Work beyond this multiple of what it can do...
+    /// A cold machine fails if the work sent to it exceeds its present capacity by more than this factor...
     pub multiple: f64,
-    /// ...within this span makes it fall over.
+    /// ...over this span, ms.
     pub span_ms: Ms,
 }
 
-/// What becomes of a request.
+/// What happens to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Taken {
-    /// It is done at this time.
+    /// It finishes at this time.
     Done(Ms),
-    /// Queue full: it never runs.
+    /// The queue is full: it never runs.
     Full,
-    /// The machine falls over under it.
+    /// The machine fails on it, or has failed before.
     Falls,
 }
 
@@ -49,76 +49,77 @@
     build: Build,
     rule: ColdRule,
     born: Option<Ms>,
-    /// When each core is free.
-    free: Vec<Ms>,
-    /// Starts of requests that had to wait; bounded by the queue.
-    starts: VecDeque<Ms>,
-    /// Work sent lately, while cold; bounded by the rule's span and by falling over.
-    sent: VecDeque<(Ms, f64)>,
-    /// Everything takes this many times as long.
+    /// By core, the time from which it is free.
+    free_at: Vec<Ms>,
+    /// Start times of requests that had to wait; bounded by the queue.
+    queued_starts: VecDeque<Ms>,
+    /// Recent work with its time of arrival, while cold; bounded by the rule's span and by the machine's failure.
+    recent_work: VecDeque<(Ms, f64)>,
+    /// Factor by which the service time of every request is multiplied.
     pub slow: f64,
     fallen: bool,
 }
 
 impl Machine {
-    /// A machine that has been up for long, or was born at a time.
+    /// A machine that started at a time, or is warm if none is given.
     pub fn new(build: Build, rule: ColdRule, born: Option<Ms>) -> Self {
-        let free = vec![0.0; build.cores.max(1)];
-        let (starts, sent) = (VecDeque::new(), VecDeque::new());
-        Machine { build, rule, born, free, starts, sent, slow: 1.0, fallen: false }
+        let free_at = vec![0.0; build.cores.max(1)];
+        let (queued_starts, recent_work) = (VecDeque::new(), VecDeque::new());
+        Machine { build, rule, born, free_at, queued_starts, recent_work, slow: 1.0, fallen: false }
     }
 
-    /// Part of its capacity that it has.
+    /// Fraction of its full capacity that the machine has.
     pub fn warmth(&self, now: Ms) -> f64 {
         let Some(born) = self.born else { return 1.0 };
         let part = ((now - born) / self.rule.warm_ms).clamp(0.0, 1.0);
         self.rule.start + (1.0 - self.rule.start) * part
     }
 
-    /// Whether it has fallen over.
+    /// Whether the machine has failed from overload while cold.
     pub fn has_fallen(&self) -> bool {
         self.fallen
     }
 
-    /// Takes a request of so many milliseconds of work on a standard core.
+    /// Accepts or rejects a request of so many milliseconds of work on a standard core.
     pub fn take(&mut self, now: Ms, work: f64) -> Taken {
-        if self.fallen || self.is_pushed(now, work) {
+        if self.fallen || self.is_overloaded_cold(now, work) {
             self.fallen = true;
             return Taken::Falls;
         }
-        while self.starts.front().is_some_and(|s| *s <= now) {
-            self.starts.pop_front();
+        while self.queued_starts.front().is_some_and(|s| *s <= now) {
+            self.queued_starts.pop_front();
         }
         let warmth = self.warmth(now);
         let span = work * self.slow / (self.build.speed * warmth);
         if self.build.cores == 0 {
             return Taken::Done(now + span);
         }
-        let core = self.free.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("at least one core");
-        if *core > now && self.starts.len() >= self.build.queue {
+        let core = self.free_at.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("at least one core");
+        if *core > now && self.queued_starts.len() >= self.build.queue {
             return Taken::Full;
         }
         let start = core.max(now);
         *core = start + span;
         if start > now {
-            self.starts.push_back(start);
+            self.queued_starts.push_back(start);
         }
         Taken::Done(start + span)
     }
 
-    fn is_pushed(&mut self, now: Ms, work: f64) -> bool {
+    /// Whether this request overloads the machine while it is cold.
+    fn is_overloaded_cold(&mut self, now: Ms, work: f64) -> bool {
         let warmth = self.warmth(now);
         if warmth >= 1.0 || self.build.cores == 0 {
-            self.sent.clear();
+            self.recent_work.clear();
             return false;
         }
-        self.sent.push_back((now, work));
-        while self.sent.front().is_some_and(|(at, _)| *at < now - self.rule.span_ms) {
-            self.sent.pop_front();
+        self.recent_work.push_back((now, work));
+        while self.recent_work.front().is_some_and(|(at, _)| *at < now - self.rule.span_ms) {
+            self.recent_work.pop_front();
         }
         let capacity = self.build.cores as f64 * self.build.speed * warmth;
-        let slack = 4.0 * work; // a few requests more are chance, not a push
-        let sum: f64 = self.sent.iter().map(|(_, w)| w).sum();
+        let slack = 4.0 * work; // a few more requests are chance, not overload
+        let sum: f64 = self.recent_work.iter().map(|(_, w)| w).sum();
         sum > self.rule.multiple * capacity * self.rule.span_ms + slack
     }
 }
@@ -134,7 +135,7 @@
     }
 
     #[test]
-    fn cores_work_in_turn_and_the_queue_ends() {
+    fn cores_serve_in_order_and_a_full_queue_rejects() {
         let mut m = machine(None);
         assert_eq!(m.take(0.0, 10.0), Taken::Done(10.0));
         assert_eq!(m.take(0.0, 20.0), Taken::Done(20.0));
@@ -144,10 +145,10 @@
     }
 
     #[test]
-    fn a_cold_one_is_slow_and_falls_over_when_pushed() {
+    fn a_cold_machine_is_slow_and_fails_when_overloaded() {
         let mut m = machine(Some(0.0));
         assert!(matches!(m.take(0.0, 3.0), Taken::Done(d) if (d - 10.0).abs() < 1e-9));
-        // 2.5 times 0.6 cores for 500 ms is 750 ms of work.
+        // The limit is 2.5 times 0.6 cores for 500 ms: 750 ms of work.
         let mut at = 0.0;
         while m.take(at, 10.0) != Taken::Falls {
             at += 1.0;
--- a/crates/sandgap-rig/src/relay.rs
+++ b/crates/sandgap-rig/src/relay.rs
@@ -1,6 +1,6 @@
-//! A small reverse proxy on hyper: round robin, pooled connections. Bare, it is what the proxy's cost is measured
-//! against. Plain, it keeps drains and deadlines, and the ledger finds nothing wrong with it where backends do not
-//! start cold. With a defect it breaks one rule, to show that the ledger sees it.
+//! A small reverse proxy on hyper with round robin and pooled connections. [`Kind::Bare`] is the baseline for the
+//! proxy's cost. [`Kind::Plain`] keeps drains and deadlines, and passes the ledger's checks as long as backends do not
+//! start cold. Each other kind breaks one rule, to verify that the ledger detects it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,32 +25,32 @@
 
 use crate::limits::IDLE;
 
-/// What is wrong with a relay.
+/// How a relay behaves, and which rule it breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Kind {
-    /// No rules, no deadlines: the yardstick.
+    /// No rules and no deadlines: the baseline for costs.
     Bare,
-    /// Drains and deadlines kept.
+    /// Keeps drains and deadlines.
     Plain,
-    /// Sends again whatever failed, unsafe requests too.
+    /// Retries whatever failed, unsafe requests too.
     Resends,
-    /// Goes on sending to backends that drain.
+    /// Keeps sending to backends that drain.
     IgnoresDrains,
-    /// Drops the answer of one request in fifty.
+    /// Drops the answer to one request in fifty, together with the connection.
     DropsAnswers,
-    /// Refuses what may have run.
+    /// Refuses requests that may have run.
     RefusesRan,
-    /// Holds one answer in fifty back past its deadline.
+    /// Delays one answer in fifty past its deadline.
     AnswersLate,
-    /// Makes one answer in fifty up.
+    /// Forges one answer in fifty.
     Forges,
-    /// Sends everything to the newest backend.
+    /// Sends all requests to the backend that was started last.
     PushesCold,
-    /// Sends one request in fifty once more after its answer.
+    /// Sends one request in fifty a second time after it was answered.
     SendsAfter,
 }
 
-/// Kinds with a defect.
+/// The kinds with a defect.
 pub const DEFECTS: [Kind; 8] = [
     Kind::Resends,
     Kind::IgnoresDrains,
@@ -62,10 +62,10 @@
     Kind::SendsAfter,
 ];
 
-/// One request in so many meets a defect that would otherwise hide all others.
-const SOME: u32 = 50;
-/// An answer has to be on its way this long before the client gives up.
-const MARGIN: Duration = Duration::from_millis(10);
+/// One request in so many meets the defect, where it would hide all other behaviour if it met every request.
+const DEFECT_INTERVAL: u32 = 50;
+/// How long before the client's timeout an answer has to be sent.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 
 #[derive(Deserialize)]
 struct Config {
@@ -100,15 +100,15 @@
     kind: Kind,
     targets: RefCell<Vec<Target>>,
     pools: RefCell<HashMap<SocketAddr, Vec<Sender>>>,
-    turn: Cell<usize>,
-    count: Cell<u32>,
-    listed: Cell<bool>,
+    next_turn: Cell<usize>,
+    request_count: Cell<u32>,
+    has_list: Cell<bool>,
 }
 
-/// Runs a relay by the platform's configuration until SIGTERM.
+/// Runs a relay until SIGTERM, with the platform's configuration from a JSON file.
 ///
 /// # Errors
-/// A configuration or address that is of no use.
+/// A configuration that can't be read, or an address that can't be listened on.
 pub fn serve(kind: Kind, config: &Path) -> std::io::Result<()> {
     let config: Config = serde_json::from_str(&std::fs::read_to_string(config)?)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -118,11 +118,11 @@
             kind,
             targets: RefCell::default(),
             pools: RefCell::default(),
-            turn: Cell::new(0),
-            count: Cell::new(0),
-            listed: Cell::new(false),
+            next_turn: Cell::new(0),
+            request_count: Cell::new(0),
+            has_list: Cell::new(false),
         });
-        spawn_local(relay.clone().follow(config.discovery));
+        spawn_local(relay.clone().follow_discovery(config.discovery));
         let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
         loop {
             tokio::select! {
@@ -137,7 +137,7 @@
 }
 
 impl Relay {
-    async fn follow(self: Rc<Self>, address: SocketAddr) {
+    async fn follow_discovery(self: Rc<Self>, address: SocketAddr) {
         loop {
             if let Ok(stream) = TcpStream::connect(address).await {
                 let _ = self.watch(stream).await;
@@ -150,15 +150,15 @@
         stream.write_all(b"GET /discovery/hosts?watch=1 HTTP/1.1\r\nHost: x\r\n\r\n").await?;
         let mut lines = BufReader::new(stream).lines();
         while let Some(line) = lines.next_line().await? {
-            // Everything else is head or framing.
+            // All other lines are the response head or chunk framing.
             if let Ok(list) = serde_json::from_str::<List>(&line) {
-                self.take(list);
+                self.update_targets(list);
             }
         }
         Ok(())
     }
 
-    fn take(&self, list: List) {
+    fn update_targets(&self, list: List) {
         let mut targets = self.targets.borrow_mut();
         if list.whole && self.kind != Kind::IgnoresDrains {
             targets.clear();
@@ -172,7 +172,7 @@
                 targets.push(Target { host: h.host, address: h.dial, born_ms: h.born_ms });
             }
         }
-        self.listed.set(true);
+        self.has_list.set(true);
     }
 
     fn target(&self) -> Option<SocketAddr> {
@@ -182,59 +182,68 @@
         {
             return Some(newest.address);
         }
-        let turn = self.turn.replace(self.turn.get().wrapping_add(1));
+        let turn = self.next_turn.replace(self.next_turn.get().wrapping_add(1));
         (!targets.is_empty()).then(|| targets[turn % targets.len()].address)
     }
 
     async fn connection(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request| {
             let relay = self.clone();
-            async move { relay.answer(request).await.ok_or(std::io::Error::other("dropped")) }
+            async move {
+                relay
+                    .answer(request)
+                    .await
+                    .ok_or(std::io::Error::other("request dropped by the relay's defect"))
+            }
         });
         let _ =
             hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
-    /// Answers a request; `None` drops it with its connection.
+    /// Answers a request; `None` drops the request and its connection.
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Option<Response<Full<Bytes>>> {
         if request.uri().path() == "/up" {
-            let up = self.listed.get();
-            return Some(plain(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
+            let up = self.has_list.get();
+            return Some(empty_response(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
         }
         if self.kind == Kind::Bare {
-            return Some(self.pass(request).await.unwrap_or_else(|()| plain(StatusCode::BAD_GATEWAY)));
+            return Some(
+                self.forward_unchanged(request)
+                    .await
+                    .unwrap_or_else(|()| empty_response(StatusCode::BAD_GATEWAY)),
+            );
         }
-        let n = self.count.replace(self.count.get() + 1);
-        let odd = n % SOME == SOME - 1;
+        let n = self.request_count.replace(self.request_count.get() + 1);
+        let defective = n % DEFECT_INTERVAL == DEFECT_INTERVAL - 1;
         let wait = request.headers().get("x-timeout").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
         let wait = Duration::from_secs_f64(wait.unwrap_or(1.0).clamp(0.0, 60.0));
         let (head, body) = request.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
-        let remake = || {
+        let copy_request = || {
             let mut request = Request::new(Full::new(body.clone()));
             *request.method_mut() = head.method.clone();
             *request.uri_mut() = head.uri.clone();
             *request.headers_mut() = head.headers.clone();
             request
         };
-        if odd && self.kind == Kind::Forges {
+        if defective && self.kind == Kind::Forges {
             return Some(Response::new(Full::new(Bytes::from_static(b"made up"))));
         }
         let tries = if self.kind == Kind::Resends { 3 } else { 1 };
-        let until = tokio::time::Instant::now() + wait.saturating_sub(MARGIN);
+        let until = tokio::time::Instant::now() + wait.saturating_sub(RESPONSE_MARGIN);
         let mut response = Err(());
         for _ in 0..tries {
-            let attempt = tokio::time::timeout_at(until, self.forward(remake()));
+            let attempt = tokio::time::timeout_at(until, self.forward(copy_request()));
             response = attempt.await.unwrap_or(Err(()));
             if response.as_ref().is_ok_and(|r| r.status() == StatusCode::OK) {
                 break;
             }
         }
         match self.kind {
-            Kind::DropsAnswers if odd => return None,
-            Kind::AnswersLate if odd => sleep(wait + Duration::from_millis(200)).await,
-            Kind::SendsAfter if odd => {
-                let (relay, again) = (self.clone(), remake());
+            Kind::DropsAnswers if defective => return None,
+            Kind::AnswersLate if defective => sleep(wait + Duration::from_millis(200)).await,
+            Kind::SendsAfter if defective => {
+                let (relay, again) = (self.clone(), copy_request());
                 spawn_local(async move {
                     sleep(Duration::from_millis(150)).await;
                     let _ = relay.forward(again).await;
@@ -244,13 +253,13 @@
         }
         Some(match response {
             Ok(r) if r.status() == StatusCode::OK => r,
-            _ if self.kind == Kind::RefusesRan => plain(StatusCode::SERVICE_UNAVAILABLE),
-            _ => plain(StatusCode::BAD_GATEWAY),
+            _ if self.kind == Kind::RefusesRan => empty_response(StatusCode::SERVICE_UNAVAILABLE),
+            _ => empty_response(StatusCode::BAD_GATEWAY),
         })
     }
 
-    /// Passes a request on with nothing looked at.
-    async fn pass(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, ()> {
+    /// Forwards a request as it is.
+    async fn forward_unchanged(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, ()> {
         let (head, body) = request.into_parts();
         let body = body.collect().await.map_err(drop)?.to_bytes();
         self.forward(Request::from_parts(head, Full::new(body))).await
@@ -283,13 +292,13 @@
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         spawn_local(async move {
-            let _ = connection.await; // its end shows at the next request
+            let _ = connection.await; // its end is noticed at the next request
         });
         Some(sender)
     }
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     if status != StatusCode::OK {
