--- a/crates/sandgap-lab/src/agree/faults.rs
+++ b/crates/sandgap-lab/src/agree/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, drawn from a seed.
+//! The faults of a run, drawn from its seed.
 
 use rand::RngExt;
 
@@ -6,123 +6,132 @@
 use crate::calendar::{MS, Nanos, SECOND};
 use crate::streams::Stream;
 
-/// Something that happens to processes or to the net between them.
+/// A fault of a process, of its disk or of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Words from one to another are lost, by pair.
-    Cut(Vec<(usize, usize)>),
-    /// All ways are open again.
+    /// Messages on these directed links (from, to) are lost; replaces the previous partition.
+    Partition(Vec<(usize, usize)>),
+    /// All network faults end.
     Heal,
-    /// A part of all words is lost, doubled, and late by up to a span.
-    Weather(f64, f64, Nanos),
-    /// A process stands still for a span.
+    /// Fractions of all messages that are lost and duplicated, and the largest extra delay, ns.
+    Degrade(f64, f64, Nanos),
+    /// A process is paused for a time, ns.
     Pause(usize, Nanos),
-    /// It dies, what its disk had not kept is lost, and it starts again after a span.
+    /// A process is killed, its unfinished disk writes are lost, and it restarts after a time, ns.
     Kill(usize, Nanos),
-    /// It dies and comes back without its disk.
-    Disk(usize, Nanos),
-    /// Its disk is slow for a span.
-    Stall(usize, Nanos),
+    /// A process is killed and restarts after a time, ns, with an empty disk.
+    LoseDisk(usize, Nanos),
+    /// A disk starts no write for a time, ns.
+    StallDisk(usize, Nanos),
 }
 
-/// Shapes of partitions.
+/// Shapes of network partitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Shape {
-    /// Two halves, whoever falls into which.
+pub enum PartitionShape {
+    /// Two sides that don't reach each other; each process is on a random one.
     Halves,
-    /// The same with one that reaches both.
+    /// Two sides with one process that reaches both.
     Bridge,
-    /// One alone.
+    /// One process is cut off from all others.
     Alone,
-    /// A voter that reaches no voter, but all who ask.
+    /// A voter that reaches no other voter, but all proxies that don't vote.
     LoneVoter,
-    /// One that is heard and hears nothing.
+    /// One process whose messages arrive, but that receives none.
     Deaf,
-    /// A voter that hears and is not heard.
+    /// A voter that receives messages, but whose own are lost.
     Mute,
-    /// Each reaches its neighbours alone.
+    /// Each process reaches only its two neighbours in a ring.
     Ring,
-    /// A majority of the voters reaches nobody.
+    /// A majority of the voters is cut off from every other process.
     Majority,
 }
 
-impl Shape {
-    const ALL: [Shape; 7] =
-        [Shape::Halves, Shape::Bridge, Shape::Alone, Shape::LoneVoter, Shape::Deaf, Shape::Mute, Shape::Ring];
+impl PartitionShape {
+    const ALL: [PartitionShape; 7] = [
+        PartitionShape::Halves,
+        PartitionShape::Bridge,
+        PartitionShape::Alone,
+        PartitionShape::LoneVoter,
+        PartitionShape::Deaf,
+        PartitionShape::Mute,
+        PartitionShape::Ring,
+    ];
 }
 
-/// Draws when what goes wrong.
-pub fn draw(setup: &Setup, rng: &mut Stream) -> Vec<(Nanos, Fault)> {
-    let mut all = Vec::new();
+/// Draws the faults of a run with their times, sorted by time.
+pub fn draw_faults(setup: &Setup, rng: &mut Stream) -> Vec<(Nanos, Fault)> {
+    let mut faults = Vec::new();
     if !setup.faults {
-        return all;
+        return faults;
     }
     let nodes = setup.voters + setup.observers;
-    if let Some(only) = setup.only {
-        // One partition for most of the time, and nothing else.
-        return vec![(4 * SECOND, Fault::Cut(pairs(setup, only, nodes, rng)))];
+    if let Some(partition) = setup.partition {
+        // A single partition from 4 s until the end of the fault phase, and no other fault.
+        return vec![(4 * SECOND, Fault::Partition(cut_links(setup, partition, nodes, rng)))];
     }
     let mut at = SECOND;
     let mut lost_disks = 0;
-    while at < setup.faulty {
+    while at < setup.fault_phase {
         let node = rng.random_range(0..nodes);
         let voter = rng.random_range(0..setup.voters);
         let span = rng.random_range(50 * MS..3 * SECOND);
         let fault = match rng.random_range(0..12) {
-            0..4 => Fault::Cut(shape(setup, nodes, rng)),
+            0..4 => Fault::Partition(draw_partition(setup, nodes, rng)),
             4 => Fault::Heal,
-            5 => Fault::Weather(rng.random_range(0.0..0.3), rng.random_range(0.0..0.2), span / 8),
+            5 => Fault::Degrade(rng.random_range(0.0..0.3), rng.random_range(0.0..0.2), span / 8),
             6 | 7 => Fault::Pause(if rng.random() { node } else { voter }, span),
             8 => Fault::Kill(node, span),
             9 => Fault::Kill(voter, span),
-            // Each lost disk is one of a minority, and the others have time to rebuild it.
+            // At most one disk is lost: lost disks stay a minority, and the others have time to rebuild it.
             10 if lost_disks == 0 => {
                 lost_disks += 1;
-                Fault::Disk(voter, span)
+                Fault::LoseDisk(voter, span)
             }
-            _ => Fault::Stall(voter, span),
+            _ => Fault::StallDisk(voter, span),
         };
-        let mends = matches!(fault, Fault::Cut(_) | Fault::Weather(..)) && rng.random();
-        all.push((at, fault));
-        if mends {
-            all.push((at + span, Fault::Heal));
+        let heals = matches!(fault, Fault::Partition(_) | Fault::Degrade(..)) && rng.random();
+        faults.push((at, fault));
+        if heals {
+            faults.push((at + span, Fault::Heal));
         }
         at += rng.random_range(50 * MS..1500 * MS);
     }
-    all.sort_by_key(|(at, _)| *at);
-    all
+    faults.sort_by_key(|(at, _)| *at);
+    faults
 }
 
-/// The shape of a partition: which ways are cut.
-fn shape(setup: &Setup, nodes: usize, rng: &mut Stream) -> Vec<(usize, usize)> {
-    let kind = Shape::ALL[rng.random_range(0..Shape::ALL.len())];
-    pairs(setup, setup.only.unwrap_or(kind), nodes, rng)
+/// Draws a partition of a random shape, or of the setup's shape.
+fn draw_partition(setup: &Setup, nodes: usize, rng: &mut Stream) -> Vec<(usize, usize)> {
+    let shape = PartitionShape::ALL[rng.random_range(0..PartitionShape::ALL.len())];
+    cut_links(setup, setup.partition.unwrap_or(shape), nodes, rng)
 }
 
-/// The ways that a partition of a shape cuts.
-fn pairs(setup: &Setup, shape: Shape, nodes: usize, rng: &mut Stream) -> Vec<(usize, usize)> {
-    let pairs = || (0..nodes).flat_map(|a| (0..nodes).filter(move |b| *b != a).map(move |b| (a, b)));
+/// The directed links that a partition of this shape cuts.
+fn cut_links(setup: &Setup, shape: PartitionShape, nodes: usize, rng: &mut Stream) -> Vec<(usize, usize)> {
+    let links = || (0..nodes).flat_map(|a| (0..nodes).filter(move |b| *b != a).map(move |b| (a, b)));
     let one = rng.random_range(0..nodes);
     let voter = rng.random_range(0..setup.voters);
     match shape {
-        Shape::Halves => {
+        PartitionShape::Halves => {
             let side: Vec<bool> = (0..nodes).map(|_| rng.random()).collect();
-            pairs().filter(|(a, b)| side[*a] != side[*b]).collect()
+            links().filter(|(a, b)| side[*a] != side[*b]).collect()
         }
-        Shape::Bridge => {
+        PartitionShape::Bridge => {
             let side: Vec<bool> = (0..nodes).map(|_| rng.random()).collect();
-            pairs().filter(|(a, b)| side[*a] != side[*b] && *a != one && *b != one).collect()
+            links().filter(|(a, b)| side[*a] != side[*b] && *a != one && *b != one).collect()
         }
-        Shape::Alone => pairs().filter(|(a, b)| *a == one || *b == one).collect(),
-        Shape::LoneVoter => pairs()
+        PartitionShape::Alone => links().filter(|(a, b)| *a == one || *b == one).collect(),
+        PartitionShape::LoneVoter => links()
             .filter(|(a, b)| (*a == voter || *b == voter) && *a < setup.voters && *b < setup.voters)
             .collect(),
-        Shape::Deaf => pairs().filter(|(_, b)| *b == one).collect(),
-        Shape::Mute => pairs().filter(|(a, _)| *a == voter).collect(),
-        Shape::Ring => pairs().filter(|(a, b)| (a + 1) % nodes != *b && (b + 1) % nodes != *a).collect(),
-        Shape::Majority => {
-            let lost = setup.voters / 2 + 1;
-            pairs().filter(|(a, b)| *a < lost || *b < lost).collect()
+        PartitionShape::Deaf => links().filter(|(_, b)| *b == one).collect(),
+        PartitionShape::Mute => links().filter(|(a, _)| *a == voter).collect(),
+        PartitionShape::Ring => {
+            links().filter(|(a, b)| (a + 1) % nodes != *b && (b + 1) % nodes != *a).collect()
+        }
+        PartitionShape::Majority => {
+            let isolated = setup.voters / 2 + 1;
+            links().filter(|(a, b)| *a < isolated || *b < isolated).collect()
         }
     }
 }
--- a/crates/sandgap-lab/src/agree/host.rs
+++ b/crates/sandgap-lab/src/agree/host.rs
@@ -1,5 +1,5 @@
-//! What every process in virtual time stands on: a clock, a disk that takes its time, a timer; and the net between
-//! them, which cuts, loses, delays, doubles and reorders.
+//! The simulated host of a process: a clock, a disk with write latency and a timer; and the network between hosts,
+//! which partitions, loses, delays, duplicates and reorders messages.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -18,72 +18,73 @@
 use crate::skew::Skewed;
 use crate::streams::Stream;
 
-/// What a disk takes for a write.
-const DISK: Range<Nanos> = 100_000..4 * MS;
-/// What a word takes.
-pub const WAY: Range<Nanos> = 100_000..3 * MS;
-/// Between two looks at who is there; the daemon's is its membership's.
-pub const LOOK: Nanos = 500 * MS;
+/// Time of one disk write, ns.
+const DISK_WRITE_TIME: Range<Nanos> = 100_000..4 * MS;
+/// Time that a message takes from one host to another, ns.
+pub const LINK_DELAY: Range<Nanos> = 100_000..3 * MS;
+/// Interval at which processes learn who else is up, ns; in the daemon the membership decides that.
+pub const MEMBERSHIP_INTERVAL: Nanos = 500 * MS;
 
-/// Where one process after another runs. Events of kind `E` wait here while a process stands still.
+/// A host that runs one process at a time. Events of type `E` are deferred here while the process is paused.
 pub struct Host<E> {
-    /// The proxy's name.
+    /// Name of the proxy.
     pub name: String,
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
     /// Its clock.
     pub clock: Skewed,
-    /// Counts its processes: what was meant for one that died reaches no later one.
-    pub life: u32,
-    /// Its process stands still.
+    /// Number of the current process, raised at each start and stop: an event for a dead process reaches no later
+    /// one.
+    pub incarnation: u32,
+    /// Whether its process is paused.
     pub paused: bool,
-    /// What happens to it once it goes on.
-    pub waiting: VecDeque<E>,
-    /// What its disk has, if it votes.
+    /// Events to handle when the process resumes.
+    pub deferred: VecDeque<E>,
+    /// Contents of its disk, if it votes.
     pub disk: Option<Saved>,
-    /// Its disk does nothing before this.
-    pub stalled: Nanos,
-    /// When the disk has done what it was told.
-    busy: Nanos,
-    /// Its timer is set for this local time.
-    armed: Option<Time>,
+    /// The disk starts no write before this time.
+    pub disk_stalled_until: Nanos,
+    /// When the disk will have done all writes given to it.
+    disk_busy_until: Nanos,
+    /// The local time for which the timer is set.
+    timer_at: Option<Time>,
 }
 
 impl<E> Host<E> {
-    /// One on which nothing runs yet; its clock's rate is drawn within `part` of true time.
-    pub fn new(n: usize, part: f64, rng: &mut Stream) -> Self {
+    /// A host without a process; its clock's rate is drawn within the fraction `max_drift` of true time.
+    pub fn new(n: usize, max_drift: f64, rng: &mut Stream) -> Self {
         Host {
             name: format!("p{n}"),
             address: ([127, 0, 0, 1], n as u16 + 1).into(),
             clock: Skewed {
-                rate: 1.0 + part * rng.random_range(-1.0..=1.0),
+                rate: 1.0 + max_drift * rng.random_range(-1.0..=1.0),
                 offset: rng.random_range(0..1000 * SECOND),
             },
-            life: 0,
+            incarnation: 0,
             paused: false,
-            waiting: VecDeque::new(),
+            deferred: VecDeque::new(),
             disk: None,
-            stalled: 0,
-            busy: 0,
-            armed: None,
+            disk_stalled_until: 0,
+            disk_busy_until: 0,
+            timer_at: None,
         }
     }
 
-    /// Starts a process, with its disk or with a blank one.
+    /// Starts a process, with the host's disk or with a blank one.
     ///
     /// # Errors
-    /// Where what the disk has is damaged; the agent goes on without a vote then.
+    /// If the contents of the disk are damaged; the agent then runs without a vote.
     pub fn start(
-        &mut self, now: Nanos, with_disk: bool, terms: Terms, voters: Vec<(String, SocketAddr)>, chance: u64,
+        &mut self, now: Nanos, with_disk: bool, terms: Terms, voters: Vec<(String, SocketAddr)>, random: u64,
     ) -> (Agent, Result<(), Damaged>) {
-        self.life += 1;
-        (self.armed, self.paused, self.busy) = (None, false, now);
-        self.waiting.clear();
+        self.incarnation += 1;
+        (self.timer_at, self.paused, self.disk_busy_until) = (None, false, now);
+        self.deferred.clear();
         let local = self.clock.local(now);
-        let mut agent = Agent::new(local, &self.name, terms, voters, chance);
+        let mut agent = Agent::new(local, &self.name, terms, voters, random);
         agent.enlist(None);
         if !with_disk && self.disk.is_some() {
-            self.disk = Some(Saved::blank(chance.max(1)));
+            self.disk = Some(Saved::blank(random.max(1)));
         }
         let votes = match &self.disk {
             Some(saved) => agent.vote(local, saved, Riders::none(), self.address),
@@ -92,37 +93,37 @@
         (agent, votes)
     }
 
-    /// Its process is dead.
+    /// Ends the process and drops its deferred events.
     pub fn stop(&mut self) {
-        self.life += 1;
+        self.incarnation += 1;
         self.paused = false;
-        self.waiting.clear();
+        self.deferred.clear();
     }
 
-    /// When the disk will have kept a write that is told to it now.
-    pub fn writes(&mut self, now: Nanos, rng: &mut Stream) -> Nanos {
-        let took = rng.random_range(DISK);
-        self.busy = self.busy.max(now).max(self.stalled) + took;
-        self.busy
+    /// Queues a disk write and returns when it will be durable.
+    pub fn queue_write(&mut self, now: Nanos, rng: &mut Stream) -> Nanos {
+        let write_time = rng.random_range(DISK_WRITE_TIME);
+        self.disk_busy_until = self.disk_busy_until.max(now).max(self.disk_stalled_until) + write_time;
+        self.disk_busy_until
     }
 
-    /// Sets the timer for a local time, unless it goes off before that; returns the true time.
-    pub fn arm(&mut self, now: Nanos, due: Time) -> Option<Nanos> {
-        if self.armed.is_some_and(|at| due >= at) {
+    /// Sets the timer for a local time and returns the true time, or `None` if it is already set for no later time.
+    pub fn arm_timer(&mut self, now: Nanos, due: Time) -> Option<Nanos> {
+        if self.timer_at.is_some_and(|at| due >= at) {
             return None;
         }
-        self.armed = Some(due);
+        self.timer_at = Some(due);
         Some(self.clock.shown(due).max(now))
     }
 
-    /// The timer has gone off.
-    pub fn fired(&mut self) {
-        self.armed = None;
+    /// Notes that the timer has fired.
+    pub fn timer_fired(&mut self) {
+        self.timer_at = None;
     }
 }
 
-/// Founds the voters' stores.
-pub fn found<'a, E: 'a>(hosts: impl Iterator<Item = &'a mut Host<E>>) {
+/// Gives each voter a disk with the founding state of the fleet: all voters with their seats.
+pub fn found_voter_disks<'a, E: 'a>(hosts: impl Iterator<Item = &'a mut Host<E>>) {
     let voters: Vec<&mut Host<E>> = hosts.collect();
     let seat = |host: &Host<E>| Seat { name: host.name.clone(), address: host.address };
     let seats: BTreeMap<u64, Seat> =
@@ -132,38 +133,38 @@
     }
 }
 
-/// The net between processes.
+/// The network between processes.
 #[derive(Default)]
-pub struct Net {
-    cut: BTreeSet<(usize, usize)>,
-    lost: f64,
-    doubled: f64,
-    late: Nanos,
+pub struct Network {
+    cut_links: BTreeSet<(usize, usize)>,
+    loss: f64,
+    duplicates: f64,
+    max_delay: Nanos,
 }
 
-impl Net {
-    /// Takes up a fault of the net; others are none of its business.
-    pub fn suffer(&mut self, fault: &Fault) {
+impl Network {
+    /// Applies a network fault; other faults are ignored.
+    pub fn apply(&mut self, fault: &Fault) {
         match fault {
-            Fault::Cut(pairs) => self.cut = pairs.iter().copied().collect(),
-            Fault::Heal => *self = Net::default(),
-            Fault::Weather(lost, doubled, late) => {
-                (self.lost, self.doubled, self.late) = (*lost, *doubled, *late);
+            Fault::Partition(links) => self.cut_links = links.iter().copied().collect(),
+            Fault::Heal => *self = Network::default(),
+            Fault::Degrade(loss, duplicates, delay) => {
+                (self.loss, self.duplicates, self.max_delay) = (*loss, *duplicates, *delay);
             }
             _ => {}
         }
     }
 
-    /// When a word arrives, each copy of it; never, where it is lost.
-    pub fn ways(&self, now: Nanos, from: usize, to: usize, rng: &mut Stream) -> Vec<Nanos> {
-        if self.cut.contains(&(from, to)) || self.lost > 0.0 && rng.random_bool(self.lost) {
+    /// Arrival times of a message sent now, one for each copy; empty if it is lost.
+    pub fn arrival_times(&self, now: Nanos, from: usize, to: usize, rng: &mut Stream) -> Vec<Nanos> {
+        if self.cut_links.contains(&(from, to)) || self.loss > 0.0 && rng.random_bool(self.loss) {
             return Vec::new();
         }
-        let copies = if self.doubled > 0.0 && rng.random_bool(self.doubled) { 2 } else { 1 };
-        let mut way = || {
-            let late = if self.late > 0 { rng.random_range(0..=self.late) } else { 0 };
-            now + rng.random_range(WAY) + late
+        let copies = if self.duplicates > 0.0 && rng.random_bool(self.duplicates) { 2 } else { 1 };
+        let mut arrival = || {
+            let extra = if self.max_delay > 0 { rng.random_range(0..=self.max_delay) } else { 0 };
+            now + rng.random_range(LINK_DELAY) + extra
         };
-        (0..copies).map(|_| way()).collect()
+        (0..copies).map(|_| arrival()).collect()
     }
 }
--- a/crates/sandgap-lab/src/agree/world.rs
+++ b/crates/sandgap-lab/src/agree/simulation.rs
@@ -1,4 +1,4 @@
-//! The world of one run: processes, their clocks and disks, the net, publishers.
+//! The simulation of one run: processes with their clocks and disks, the network, publishers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,77 +14,78 @@
 use sandgap_agree::{Agent, Digest, Output, Rulebook, Terms, Version};
 use sandgap_fleet::{Drift, Time};
 
-use super::faults::{Fault, draw};
-use super::hands::Hands;
-use super::host::{self, Host, LOOK, Net, WAY};
-use super::judge::{Findings, Judge};
+use super::checker::{Checker, Findings};
+use super::faults::{Fault, draw_faults};
+use super::host::{self, Host, LINK_DELAY, MEMBERSHIP_INTERVAL, Network};
+use super::succession::SuccessionChecker;
 use super::{Flaw, Setup};
 use crate::calendar::{Calendar, MS, Nanos, SECOND};
 use crate::streams::{Stream, stream};
 
-/// The publisher, among the senders of words.
-const HAND: &str = "hand";
-/// How long all has to be well again after the last fault: elections, a rebuilt disk, members that are missed.
-const HEALED: Nanos = 15 * SECOND;
+/// The publisher's name as a sender of messages.
+const PUBLISHER: &str = "hand";
+/// Time without faults at the end of a run, ns, in which everything has to recover: elections, a rebuilt disk, members
+/// that are noticed as missing.
+const RECOVERY_TIME: Nanos = 15 * SECOND;
 
 enum Event {
-    /// A word arrives at a process.
-    Word {
+    /// A message arrives at a process.
+    Message {
         to: usize,
         from: String,
-        word: Word,
+        message: Word,
     },
-    /// A process's timer.
+    /// A process's timer fires.
     Timer {
         node: usize,
-        life: u32,
+        incarnation: u32,
     },
-    /// A disk has kept a write.
-    Kept {
+    /// A disk write is durable.
+    Written {
         node: usize,
-        life: u32,
+        incarnation: u32,
         write: Write,
     },
     Fault(Fault),
     Wake(usize),
     Start(usize, bool),
     Publish,
-    Look,
-    /// An heir has settled what it inherited.
+    UpdateMembers,
+    /// A successor has settled what it took over.
     Settled {
         node: usize,
-        life: u32,
+        incarnation: u32,
         epoch: Epoch,
     },
-    /// Somebody finds that nothing listens at a process's address.
+    /// A process (the first) finds that nothing listens at the address of another (the second).
     Missed(usize, usize),
 }
 
 struct Node {
     host: Host<Event>,
     agent: Option<Agent>,
-    /// The version that it can act on, since when, and until when at the most.
+    /// The version that it can act on, since when, and until when at the latest.
     right: Option<(Version, Nanos, Nanos)>,
-    /// When it last held none, once it has held one.
-    without: Option<Nanos>,
+    /// Since when it has no right to act, once it has had one.
+    no_right_since: Option<Nanos>,
     unusable: BTreeSet<u32>,
 }
 
-/// See the module.
-pub struct World {
+/// The simulation of one run.
+pub struct Simulation {
     setup: Setup,
     seed: u64,
     nodes: Vec<Node>,
     events: Calendar<Event>,
-    net: Net,
+    network: Network,
     rng: Stream,
-    judge: Judge,
-    hands: Hands,
+    checker: Checker,
+    succession: SuccessionChecker,
     found: Findings,
     published: BTreeMap<u64, (Nanos, Digest)>,
-    /// Publications by version, until all have switched.
-    open: BTreeMap<Version, Nanos>,
-    drawn: u64,
+    /// Publication times by version, until all processes have switched.
+    unfinished: BTreeMap<Version, Nanos>,
+    proposals: u64,
 }
 
 fn book(attempts: u32, worth: f64) -> Rulebook {
@@ -108,80 +109,81 @@
     Rulebook { classes: vec![class], tenants: vec![], backends: None, drained: BTreeSet::new(), limits }
 }
 
-impl World {
-    /// A world in which nothing has happened.
+impl Simulation {
+    /// A simulation at time 0, with the fleet founded and faults scheduled.
     pub fn new(setup: Setup, seed: u64) -> Self {
         let mut rng = stream(seed, "agree", 0);
-        let part = f64::from(setup.ppm) / 1e6 * if setup.flaw == Some(Flaw::Drift) { 60.0 } else { 1.0 };
+        let max_drift =
+            f64::from(setup.drift_ppm) / 1e6 * if setup.flaw == Some(Flaw::Drift) { 60.0 } else { 1.0 };
         let nodes = (0..setup.voters + setup.observers).map(|n| Node {
-            host: Host::new(n, part, &mut rng),
+            host: Host::new(n, max_drift, &mut rng),
             agent: None,
             right: None,
-            without: None,
+            no_right_since: None,
             unusable: BTreeSet::new(),
         });
-        let mut world = World {
+        let mut simulation = Simulation {
             nodes: nodes.collect(),
             setup,
             seed,
             events: Calendar::default(),
-            net: Net::default(),
+            network: Network::default(),
             rng,
-            judge: Judge::default(),
-            hands: Hands::default(),
+            checker: Checker::default(),
+            succession: SuccessionChecker::default(),
             found: Findings { runs: 1, bound: setup.bound.as_nanos() as Nanos, ..Findings::default() },
             published: BTreeMap::new(),
-            open: BTreeMap::new(),
-            drawn: 0,
+            unfinished: BTreeMap::new(),
+            proposals: 0,
         };
-        world.found_fleet();
-        world
+        simulation.found_fleet();
+        simulation
     }
 
     fn found_fleet(&mut self) {
-        host::found(self.nodes[..self.setup.voters].iter_mut().map(|node| &mut node.host));
+        host::found_voter_disks(self.nodes[..self.setup.voters].iter_mut().map(|node| &mut node.host));
         for n in 0..self.nodes.len() {
             self.events.push(0, Event::Start(n, true));
         }
-        for (at, fault) in draw(&self.setup, &mut stream(self.seed, "agree faults", 0)) {
+        for (at, fault) in draw_faults(&self.setup, &mut stream(self.seed, "agree faults", 0)) {
             self.events.push(at, Event::Fault(fault));
         }
-        self.events.push(self.setup.faulty, Event::Fault(Fault::Heal));
-        // A leader switches nothing before it knows who is there.
+        self.events.push(self.setup.fault_phase, Event::Fault(Fault::Heal));
+        // A leader switches to no version before it knows which members are up.
         self.events.push(3 * SECOND, Event::Publish);
-        // The last one finds all healed, and has to come into force.
-        self.events.push(self.setup.faulty + HEALED / 2, Event::Publish);
-        self.events.push(LOOK, Event::Look);
+        // The last publication comes after all faults are healed, and has to come into force.
+        self.events.push(self.setup.fault_phase + RECOVERY_TIME / 2, Event::Publish);
+        self.events.push(MEMBERSHIP_INTERVAL, Event::UpdateMembers);
     }
 
-    /// Plays to the end.
-    pub fn play(mut self) -> Findings {
-        let end = self.setup.faulty + HEALED;
+    /// Runs to the end.
+    pub fn run(mut self) -> Findings {
+        let end = self.setup.fault_phase + RECOVERY_TIME;
         while let Some((at, event)) = self.events.pop() {
             if at > end {
                 break;
             }
-            self.happen(event);
+            self.handle(event);
         }
-        self.close(end)
+        self.finish(end)
     }
 
     fn now(&self) -> Nanos {
         self.events.now()
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Word { to, from, word } => self.word(to, from, word),
-            Event::Timer { node, life } => self.timer(node, life),
-            Event::Kept { node, life, write } => self.kept(node, life, write),
+            Event::Message { to, from, message } => self.receive(to, from, message),
+            Event::Timer { node, incarnation } => self.timer(node, incarnation),
+            Event::Written { node, incarnation, write } => self.written(node, incarnation, write),
             Event::Fault(fault) => self.fault(fault),
             Event::Wake(n) => self.wake(n),
             Event::Start(n, disk) => self.start(n, disk),
             Event::Publish => self.publish(),
-            Event::Look => self.look(),
-            Event::Settled { node, life, epoch } => {
-                if self.nodes[node].host.life == life {
+            Event::UpdateMembers => self.update_members(),
+            Event::Settled { node, incarnation, epoch } => {
+                if self.nodes[node].host.incarnation == incarnation {
                     self.with(node, |agent, now| agent.settled(now, epoch));
                 }
             }
@@ -216,42 +218,42 @@
         let voters: Vec<(String, SocketAddr)> =
             self.nodes[..self.setup.voters].iter().map(|v| (v.host.name.clone(), v.host.address)).collect();
         let now = self.now();
-        let chance = self.rng.random();
+        let random = self.rng.random();
         let node = &mut self.nodes[n];
         if node.agent.is_some() {
             return;
         }
-        let (agent, votes) = node.host.start(now, with_disk, terms, voters, chance);
+        let (agent, votes) = node.host.start(now, with_disk, terms, voters, random);
         if let Err(e) = votes {
-            self.judge.broken.push(format!("p{n} can't start from its disk: {e}"));
+            self.checker.violations.push(format!("p{n} can't start from its disk: {e}"));
         }
         self.nodes[n].agent = Some(agent);
-        self.after(n);
+        self.poll(n);
     }
 
-    fn timer(&mut self, n: usize, life: u32) {
-        if self.nodes[n].host.life != life {
+    fn timer(&mut self, n: usize, incarnation: u32) {
+        if self.nodes[n].host.incarnation != incarnation {
             return;
         }
         if self.nodes[n].host.paused {
-            self.nodes[n].host.waiting.push_back(Event::Timer { node: n, life });
+            self.nodes[n].host.deferred.push_back(Event::Timer { node: n, incarnation });
             return;
         }
-        self.nodes[n].host.fired();
+        self.nodes[n].host.timer_fired();
         self.with(n, |agent, now| agent.fire(now));
     }
 
-    fn word(&mut self, to: usize, from: String, word: Word) {
+    fn receive(&mut self, to: usize, from: String, message: Word) {
         if self.nodes[to].host.paused {
-            self.nodes[to].host.waiting.push_back(Event::Word { to, from, word });
+            self.nodes[to].host.deferred.push_back(Event::Message { to, from, message });
             return;
         }
-        self.with(to, |agent, now| agent.hear(now, &from, word));
+        self.with(to, |agent, now| agent.hear(now, &from, message));
     }
 
-    fn kept(&mut self, n: usize, life: u32, write: Write) {
-        if self.nodes[n].host.life != life {
-            return; // lost with the process, before it was on the disk
+    fn written(&mut self, n: usize, incarnation: u32, write: Write) {
+        if self.nodes[n].host.incarnation != incarnation {
+            return; // lost with the process before it was durable
         }
         let number = write.number;
         if self.setup.flaw != Some(Flaw::Unsynced)
@@ -260,10 +262,10 @@
             disk.put(&write);
         }
         if self.nodes[n].host.paused {
-            // The disk goes on while the process stands still; it hears of it when it wakes.
-            self.nodes[n].host.waiting.push_back(Event::Kept {
+            // The disk goes on while the process is paused; the process learns of the write when it resumes.
+            self.nodes[n].host.deferred.push_back(Event::Written {
                 node: n,
-                life,
+                incarnation,
                 write: Write { number, ..Write::default() },
             });
             return;
@@ -277,31 +279,31 @@
         let local = node.host.clock.local(now);
         if let Some(agent) = &mut node.agent {
             act(agent, local);
-            self.after(n);
+            self.poll(n);
         }
     }
 
-    /// Carries out what a process wants done, and notes what it can do now.
-    fn after(&mut self, n: usize) {
+    /// Carries out a process's outputs, then records its rights and arms its timer.
+    fn poll(&mut self, n: usize) {
         while let Some(output) = self.nodes[n].agent.as_mut().and_then(Agent::poll) {
             self.carry_out(n, output);
         }
-        self.rights(n);
+        self.update_right(n);
         let (now, node) = (self.now(), &mut self.nodes[n]);
         let Some(due) = node.agent.as_ref().map(Agent::next_due) else { return };
-        if let Some(at) = node.host.arm(now, due) {
-            let life = node.host.life;
-            self.events.push(at, Event::Timer { node: n, life });
+        if let Some(at) = node.host.arm_timer(now, due) {
+            let incarnation = node.host.incarnation;
+            self.events.push(at, Event::Timer { node: n, incarnation });
         }
     }
 
     fn carry_out(&mut self, n: usize, output: Output) {
         match output {
-            Output::Say(to, _, word) => self.send(n, &to, word),
+            Output::Say(to, _, message) => self.send(n, &to, message),
             Output::Write(write) => self.write(n, write),
             Output::Check(version, book) => {
                 let usable = match self.nodes[n].unusable.contains(&book.limits.max_attempts) {
-                    true => Err("this one can't".to_owned()),
+                    true => Err("not usable at this proxy".to_owned()),
                     false => Ok(()),
                 };
                 let now = self.nodes[n].host.clock.local(self.now());
@@ -311,52 +313,52 @@
             }
             Output::Act(version, book) => {
                 let name = digest(&book.encode().unwrap_or_default());
-                self.judge.content(version, name, &book);
+                self.checker.record_content(version, name, &book);
             }
-            Output::Turn(Turn::Heir(claim)) => self.heir(n, &claim),
+            Output::Turn(Turn::Heir(claim)) => self.succeed(n, &claim),
             Output::Turn(_) | Output::Told(..) | Output::Note(_) => {}
         }
     }
 
-    fn heir(&mut self, n: usize, claim: &Claim) {
+    fn succeed(&mut self, n: usize, claim: &Claim) {
         let (now, node) = (self.now(), &self.nodes[n]);
-        let (of, epoch) = (node.host.life, claim.epoch);
-        if let Some((life, until)) = Self::hand(node, now) {
-            self.hands.acts(life, until);
-            self.hands.heir(now, life, claim);
+        let (incarnation, epoch) = (node.host.incarnation, claim.epoch);
+        if let Some((token, until)) = Self::token(node, now) {
+            self.succession.record_right(token, until);
+            self.succession.record_successor(now, token, claim);
         }
-        let took = self.rng.random_range(MS..300 * MS);
-        self.events.push(now + took, Event::Settled { node: n, life: of, epoch });
+        let settling = self.rng.random_range(MS..300 * MS);
+        self.events.push(now + settling, Event::Settled { node: n, incarnation, epoch });
     }
 
-    /// Under which life a process may act, and until when.
-    fn hand(node: &Node, now: Nanos) -> Option<(Life, Nanos)> {
+    /// The process token under which a process may act, and until when.
+    fn token(node: &Node, now: Nanos) -> Option<(Life, Nanos)> {
         let holder = node.agent.as_ref()?.holder()?;
         let until = holder.right(node.host.clock.local(now))?.until();
         Some((holder.life()?, node.host.clock.shown(until)))
     }
 
-    fn send(&mut self, from: usize, to: &str, word: Word) {
-        if let Word::Published(id, verdict) = &word {
-            return self.heard_back(*id, verdict);
+    fn send(&mut self, from: usize, to: &str, message: Word) {
+        if let Word::Published(id, verdict) = &message {
+            return self.publish_answered(*id, verdict);
         }
         let Some(to) = self.nodes.iter().position(|node| node.host.name == to) else { return };
-        self.found.words += 1;
-        self.found.bytes += word.encode().len() as u64;
-        for at in self.net.ways(self.now(), from, to, &mut self.rng) {
+        self.found.messages += 1;
+        self.found.bytes += message.encode().len() as u64;
+        for at in self.network.arrival_times(self.now(), from, to, &mut self.rng) {
             let from = self.nodes[from].host.name.clone();
-            self.events.push(at, Event::Word { to, from, word: word.clone() });
+            self.events.push(at, Event::Message { to, from, message: message.clone() });
         }
     }
 
     fn write(&mut self, n: usize, write: Write) {
         let (now, node) = (self.now(), &mut self.nodes[n]);
-        let (at, life) = (node.host.writes(now, &mut self.rng), node.host.life);
+        let (at, incarnation) = (node.host.queue_write(now, &mut self.rng), node.host.incarnation);
         if self.setup.flaw == Some(Flaw::Unsynced) {
-            // It says so at once, and keeps it when it comes to it.
+            // Reports the write as durable at once, and makes only about half of the writes.
             let number = write.number;
             let told = Write { number, ..Write::default() };
-            self.events.push(now + 1, Event::Kept { node: n, life, write: told });
+            self.events.push(now + 1, Event::Written { node: n, incarnation, write: told });
             let late = self.rng.random_range(0..50 * MS);
             if late < 25 * MS
                 && let Some(disk) = &mut self.nodes[n].host.disk
@@ -365,14 +367,14 @@
             }
             return;
         }
-        self.events.push(at, Event::Kept { node: n, life, write });
+        self.events.push(at, Event::Written { node: n, incarnation, write });
     }
 
-    /// What a process can do from now on; what it could do until now is told to the judge.
-    fn rights(&mut self, n: usize) {
+    /// Records what a process could do until now with the checker, and notes what it can do from now on.
+    fn update_right(&mut self, n: usize) {
         let now = self.now();
-        if let Some((life, until)) = Self::hand(&self.nodes[n], now) {
-            self.hands.acts(life, until);
+        if let Some((token, until)) = Self::token(&self.nodes[n], now) {
+            self.succession.record_right(token, until);
         }
         let node = &mut self.nodes[n];
         let local = node.host.clock.local(now);
@@ -380,46 +382,46 @@
         let right = right.map(|(version, until)| (version, node.host.clock.shown(until)));
         let before = node.right.take();
         if let Some((version, from, until)) = before {
-            self.judge.acted(version, from, until.min(now));
+            self.checker.record_use(version, from, until.min(now));
         }
         let held_until = before.map_or(now, |(_, _, until)| until.min(now));
         let node = &mut self.nodes[n];
         if before.is_some() && held_until < now {
-            self.found.lapsed += now - held_until;
+            self.found.unavailable += now - held_until;
         }
         match right {
             Some((version, until)) => {
-                if let Some(since) = node.without.take() {
-                    self.found.lapsed += now - since;
+                if let Some(since) = node.no_right_since.take() {
+                    self.found.unavailable += now - since;
                 }
-                self.judge.acted(version, now, now);
+                self.checker.record_use(version, now, now);
                 self.nodes[n].right = Some((version, now, until));
                 self.switched(version);
             }
             None => {
                 if before.is_some() {
-                    node.without = Some(now);
+                    node.no_right_since = Some(now);
                 }
             }
         }
     }
 
-    /// Once all that run act on a version, its publication is over.
+    /// Ends a version's publication once all processes act on it or on a later version.
     fn switched(&mut self, version: Version) {
-        let Some(at) = self.open.get(&version).copied() else { return };
+        let Some(at) = self.unfinished.get(&version).copied() else { return };
         let all = self.nodes.iter().all(|n| n.right.is_some_and(|(v, ..)| v >= version));
         if all {
-            self.found.delays.push(self.now() - at);
-            self.open.retain(|v, _| *v > version);
+            self.found.switch_delays.push(self.now() - at);
+            self.unfinished.retain(|v, _| *v > version);
         }
     }
 
     fn publish(&mut self) {
         let now = self.now();
-        let every = self.setup.publish;
-        let faulty = now < self.setup.faulty;
-        let next = now + self.rng.random_range(every / 2..every * 3 / 2);
-        if next < self.setup.faulty {
+        let interval = self.setup.publish_interval;
+        let in_fault_phase = now < self.setup.fault_phase;
+        let next = now + self.rng.random_range(interval / 2..interval * 3 / 2);
+        if next < self.setup.fault_phase {
             self.events.push(next, Event::Publish);
         }
         let voter = self.rng.random_range(0..self.setup.voters);
@@ -428,31 +430,32 @@
         else {
             return;
         };
-        self.drawn += 1;
-        // Two of three contradict what was before.
-        let attempts = if faulty && self.rng.random_range(0..3) == 0 { 1 } else { 1 + self.drawn as u32 };
-        if self.setup.faults && faulty && self.rng.random_range(0..8) == 0 {
+        self.proposals += 1;
+        // About two of three contradict the version before.
+        let attempts =
+            if in_fault_phase && self.rng.random_range(0..3) == 0 { 1 } else { 1 + self.proposals as u32 };
+        if self.setup.faults && in_fault_phase && self.rng.random_range(0..8) == 0 {
             let n = self.rng.random_range(0..self.nodes.len());
             self.nodes[n].unusable.insert(attempts);
         }
-        let Ok(book) = book(attempts, self.drawn as f64).encode() else { return };
-        let id = self.drawn;
+        let Ok(book) = book(attempts, self.proposals as f64).encode() else { return };
+        let id = self.proposals;
         self.published.insert(id, (now, digest(&book)));
-        let proposal = Proposal { id, parent, book, by: HAND.into(), why: String::new() };
-        let word = Word::Publish(proposal);
-        self.events.push(now + MS, Event::Word { to: voter, from: HAND.into(), word });
+        let proposal = Proposal { id, parent, book, by: PUBLISHER.into(), why: String::new() };
+        let message = Word::Publish(proposal);
+        self.events.push(now + MS, Event::Message { to: voter, from: PUBLISHER.into(), message });
     }
 
-    fn heard_back(&mut self, id: u64, verdict: &Verdict) {
+    fn publish_answered(&mut self, id: u64, verdict: &Verdict) {
         let Some((at, name)) = self.published.get(&id).copied() else { return };
         if let Verdict::PutForward(version) = verdict {
-            self.judge.acknowledged(*version, name);
-            self.open.insert(*version, at);
+            self.checker.record_acknowledged(*version, name);
+            self.unfinished.insert(*version, at);
         }
     }
 
-    fn look(&mut self) {
-        self.events.push(self.now() + LOOK, Event::Look);
+    fn update_members(&mut self) {
+        self.events.push(self.now() + MEMBERSHIP_INTERVAL, Event::UpdateMembers);
         let up: Vec<String> = self
             .nodes
             .iter()
@@ -475,109 +478,110 @@
                 self.events.push(now + span, Event::Wake(n));
             }
             Fault::Kill(n, span) => self.kill(n, now + span, true),
-            Fault::Disk(n, span) => self.kill(n, now + span, false),
-            Fault::Stall(n, span) => self.nodes[n].host.stalled = now + span,
+            Fault::LoseDisk(n, span) => self.kill(n, now + span, false),
+            Fault::StallDisk(n, span) => self.nodes[n].host.disk_stalled_until = now + span,
             Fault::Pause(..) => {}
-            fault => self.net.suffer(&fault),
+            fault => self.network.apply(&fault),
         }
     }
 
-    fn kill(&mut self, n: usize, back: Nanos, with_disk: bool) {
-        self.rights(n);
-        let life = self.nodes[n].agent.as_ref().and_then(|a| a.holder()).and_then(|h| h.life());
+    fn kill(&mut self, n: usize, restart_at: Nanos, with_disk: bool) {
+        self.update_right(n);
+        let token = self.nodes[n].agent.as_ref().and_then(|a| a.holder()).and_then(|h| h.life());
         if self.nodes[n].agent.take().is_none() {
             return;
         }
-        if let Some(life) = life {
-            self.hands.died(life, self.now());
+        if let Some(token) = token {
+            self.succession.record_kill(token, self.now());
             let finder = self.rng.random_range(0..self.nodes.len());
-            let at = self.now() + self.rng.random_range(WAY);
+            let at = self.now() + self.rng.random_range(LINK_DELAY);
             self.events.push(at, Event::Missed(finder, n));
         }
-        self.rights(n);
+        self.update_right(n);
         let node = &mut self.nodes[n];
         node.host.stop();
-        node.without = None;
-        self.events.push(back, Event::Start(n, with_disk));
+        node.no_right_since = None;
+        self.events.push(restart_at, Event::Start(n, with_disk));
     }
 
     fn wake(&mut self, n: usize) {
         if !std::mem::take(&mut self.nodes[n].host.paused) {
             return;
         }
-        for event in std::mem::take(&mut self.nodes[n].host.waiting) {
-            self.happen(event);
+        for event in std::mem::take(&mut self.nodes[n].host.deferred) {
+            self.handle(event);
         }
     }
 
-    fn close(mut self, end: Nanos) -> Findings {
+    fn finish(mut self, end: Nanos) -> Findings {
         for n in 0..self.nodes.len() {
-            self.rights(n);
+            self.update_right(n);
         }
-        let (longest, which) = self.judge.longest();
-        self.found.longest = longest;
+        let (longest, which) = self.checker.longest_overlap();
+        self.found.longest_overlap = longest;
         let bound = self.setup.bound.as_nanos() as Nanos;
         let allowed = if self.setup.apart { 0 } else { bound };
         if longest > allowed {
             let (v, w) = which.unwrap_or_default();
             let text = format!("versions {v} and {w} could be acted on together for {longest} ns");
-            self.judge.broken.push(text);
+            self.checker.violations.push(text);
         }
-        self.recovered();
-        self.judge.broken.append(&mut self.hands.broken);
-        self.found.heirs = std::mem::take(&mut self.hands.delays);
+        self.check_recovery();
+        self.checker.violations.append(&mut self.succession.violations);
+        self.found.successor_delays = std::mem::take(&mut self.succession.delays);
         let seed = self.seed;
-        self.found.broken = std::mem::take(&mut self.judge.broken).into_iter().map(|b| (seed, b)).collect();
-        self.found.switches = self.judge.switches();
-        self.found.lived = end * self.nodes.len() as u64;
-        self.found.time = end;
+        self.found.violations =
+            std::mem::take(&mut self.checker.violations).into_iter().map(|b| (seed, b)).collect();
+        self.found.switches = self.checker.versions_used();
+        self.found.proxy_time = end * self.nodes.len() as u64;
+        self.found.virtual_time = end;
         self.found
     }
 
-    /// Once all is healed, every proxy acts on the version in force, and every voter has what was acknowledged.
-    fn recovered(&mut self) {
+    /// Checks that after the faults every proxy acts on the version in force, and every voter has what was acknowledged.
+    fn check_recovery(&mut self) {
         let voters: Vec<&Agent> = self.nodes.iter().filter_map(|n| n.agent.as_ref()).collect();
         let standing =
             voters.iter().filter_map(|a| a.voter()).map(|v| v.machine().standing()).max().unwrap_or(0);
-        let mut wrong = Vec::new();
+        let mut failures = Vec::new();
         for (n, node) in self.nodes.iter().enumerate() {
             let Some(agent) = &node.agent else {
-                wrong.push(format!("p{n} is not up"));
+                failures.push(format!("p{n} is not running after recovery"));
                 continue;
             };
-            // One that can't use the version in force rightly acts on nothing.
+            // A proxy that can't use the version in force rightly acts on none.
             let usable = agent.follower().unusable().is_none();
             if usable && node.right.is_none_or(|(v, ..)| v != standing) {
                 let acting = agent.follower().acting();
                 let lease = node.right.is_some();
-                wrong.push(format!(
-                    "p{n} acts on {acting} (lease: {lease}), {standing} is in force, long after"
+                failures.push(format!(
+                    "p{n} acts on version {acting} (lease: {lease}) after recovery, but {standing} is in force"
                 ));
             }
             if agent.holder().is_none_or(|h| h.right(node.host.clock.local(self.events.now())).is_none()) {
-                wrong.push(format!("p{n} has no life, long after"));
+                failures.push(format!("p{n} has no valid process token after recovery"));
             }
             if n < self.setup.voters {
                 let Some(voter) = agent.voter() else {
-                    wrong.push(format!("p{n} votes no more"));
+                    failures.push(format!("p{n} no longer votes"));
                     continue;
                 };
                 if !voter.machine().lives().estates().is_empty() {
-                    wrong.push(format!("p{n}: lives that ended were never settled"));
+                    failures.push(format!("p{n}: process tokens that ended were never settled"));
                 }
                 if voter.machine().standing() != standing || !voter.is_seated() {
-                    wrong.push(format!("p{n} votes, but has not been brought up to {standing}"));
+                    failures.push(format!("p{n} votes, but has not caught up to version {standing}"));
                 }
                 for (version, record) in voter.machine().versions() {
-                    self.judge.known(version, record.digest, &node.host.name);
+                    self.checker.check_content(version, record.digest, &node.host.name);
                 }
             }
         }
         let last = self.published.last_key_value().map(|(_, (_, name))| *name);
         let stands = voters.iter().filter_map(|a| a.voter()).any(|v| Some(v.standing().digest) == last);
         if !stands {
-            wrong.push("what was published after all had healed never came into force".into());
+            failures.push("the rulebook published after all faults had healed never came into force".into());
         }
-        self.judge.broken.extend(wrong);
+        self.checker.violations.extend(failures);
     }
 }
--- a/crates/sandgap-lab/src/main.rs
+++ b/crates/sandgap-lab/src/main.rs
@@ -139,7 +139,7 @@
         calm: bool,
         /// One partition of this shape in place of all faults
         #[arg(long, value_enum)]
-        only: Option<agree::faults::Shape>,
+        only: Option<agree::faults::PartitionShape>,
         /// Something wrong by intent
         #[arg(long, value_enum)]
         flaw: Option<agree::Flaw>,
@@ -307,25 +307,25 @@
                 voters,
                 observers,
                 bound,
-                ppm,
+                drift_ppm: ppm,
                 apart,
                 faults: !calm,
-                only,
+                partition: only,
                 flaw,
                 ..Default::default()
             };
-            let found = agree::hunt(&setup, from..from.saturating_add(seeds));
+            let found = agree::run_seeds(&setup, from..from.saturating_add(seeds));
             println!("{found}");
-            Ok(found.broken.is_empty())
+            Ok(found.violations.is_empty())
         }
         Command::Takeover { seeds, from, observers, keepers, every_ms, calm, flaw } => {
             let fleet =
                 agree::Setup { observers: observers.into(), faults: !calm, ..agree::Setup::default() };
-            let every = every_ms.max(1) * sandgap_lab::calendar::MS;
-            let setup = takeover::Setup { fleet, keepers: keepers.into(), every, flaw };
-            let found = takeover::hunt(&setup, from..from.saturating_add(seeds));
+            let request_interval = every_ms.max(1) * sandgap_lab::calendar::MS;
+            let setup = takeover::Setup { fleet, keepers: keepers.into(), request_interval, flaw };
+            let found = takeover::run_seeds(&setup, from..from.saturating_add(seeds));
             println!("{found}");
-            Ok(found.broken.is_empty())
+            Ok(found.violations.is_empty())
         }
         Command::Speed => {
             print!("{}", checks::speed().map_err(|e| e.to_string())?);
--- a/crates/sandgap-lab/src/takeover/mod.rs
+++ b/crates/sandgap-lab/src/takeover/mod.rs
@@ -1,54 +1,55 @@
-//! Takeover in virtual time: the daemon's own [`sandgap_agree::Agent`]s and [`sandgap_takeover::Hands`], with clients
-//! that come back under the same identity, backends that drop repeats for a while, and everything between them cut,
-//! lost, late, doubled, paused and killed.
+//! Simulation of request takeover in virtual time. It runs the daemon's own [`sandgap_agree::Agent`]s and
+//! [`sandgap_takeover::Hands`], with clients that retry under the same identity, backends that deduplicate repeats for
+//! a limited time, and a network and processes with faults: partitions, lost, late and duplicated messages, paused and
+//! killed processes.
 //!
-//! What a proxy's front and decision module do with a request is a plain stand-in, [`proxy`].
+//! A simplified stand-in, [`proxy`], does the work of a proxy's front and decision module.
 
-pub mod judge;
+pub mod checker;
 pub mod proxy;
-pub mod world;
+pub mod simulation;
 
 use crate::agree;
 use crate::calendar::{MS, Nanos};
-pub use judge::Findings;
-pub use world::World;
+pub use checker::Findings;
+pub use simulation::Simulation;
 
-/// Something wrong by intent.
+/// A flaw injected on purpose, to test that the checker finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Flaw {
-    /// The first byte goes before the keepers have the step.
+    /// Attempts are sent before the keepers have recorded the step.
     SendBeforeKeeping,
-    /// That an attempt goes out is told to nobody.
+    /// Attempts are sent without any record at the keepers.
     SentNotRecorded,
 }
 
-/// One run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// Proxies, net, faults.
+    /// The proxies, the network and the faults.
     pub fleet: agree::Setup,
-    /// Others that keep each request.
+    /// Number of other proxies that keep a record of each request.
     pub keepers: usize,
-    /// Between two requests, in the mean.
-    pub every: Nanos,
-    /// Something wrong by intent.
+    /// Mean interval between requests, ns.
+    pub request_interval: Nanos,
+    /// A flaw injected on purpose.
     pub flaw: Option<Flaw>,
 }
 
 impl Default for Setup {
     fn default() -> Self {
-        Setup { fleet: agree::Setup::default(), keepers: 1, every: 8 * MS, flaw: None }
+        Setup { fleet: agree::Setup::default(), keepers: 1, request_interval: 8 * MS, flaw: None }
     }
 }
 
-/// Plays one seed.
-pub fn play(setup: &Setup, seed: u64) -> Findings {
-    World::new(*setup, seed).play()
+/// Runs one seed.
+pub fn run(setup: &Setup, seed: u64) -> Findings {
+    Simulation::new(*setup, seed).run()
 }
 
-/// Plays many seeds side by side and adds up what was found.
-pub fn hunt(setup: &Setup, seeds: std::ops::Range<u64>) -> Findings {
-    agree::play_all(seeds, |seed| play(setup, seed), Findings::merge)
+/// Runs many seeds in parallel and adds up their findings.
+pub fn run_seeds(setup: &Setup, seeds: std::ops::Range<u64>) -> Findings {
+    agree::run_parallel(seeds, |seed| run(setup, seed), Findings::merge)
 }
 
 #[cfg(test)]
@@ -58,35 +59,35 @@
     const SEEDS: u64 = 16;
 
     #[test]
-    fn nothing_runs_twice_and_nobody_gets_two_answers() {
+    fn nothing_runs_twice_and_no_client_gets_two_answers() {
         for keepers in [1, 2] {
-            let found = hunt(&Setup { keepers, ..Setup::default() }, 0..SEEDS);
-            assert!(found.broken.is_empty(), "{found}");
-            assert!(found.lost > 0 && found.answered > 0, "{found}");
+            let found = run_seeds(&Setup { keepers, ..Setup::default() }, 0..SEEDS);
+            assert!(found.violations.is_empty(), "{found}");
+            assert!(found.orphaned > 0 && found.answered > 0, "{found}");
         }
     }
 
     #[test]
-    fn without_faults_every_request_is_answered_and_nobody_inherits() {
+    fn without_faults_requests_are_answered_and_none_is_taken_over() {
         let fleet = agree::Setup { faults: false, ..agree::Setup::default() };
-        let found = hunt(&Setup { fleet, ..Setup::default() }, 0..2);
-        assert!(found.broken.is_empty() && found.lost == 0, "{found}");
+        let found = run_seeds(&Setup { fleet, ..Setup::default() }, 0..2);
+        assert!(found.violations.is_empty() && found.orphaned == 0, "{found}");
         assert!(found.answered * 100 >= found.requests * 97, "{found}");
     }
 
     #[test]
     fn each_flaw_is_found() {
-        // What a lease, an epoch or a record guards against singly is the model's: few seeds meet those.
+        // Flaws in a single safeguard (lease, epoch, record) are left to the model: few seeds here reach them.
         for (flaw, from) in [(Flaw::SendBeforeKeeping, 4), (Flaw::SentNotRecorded, 0)] {
             let setup = Setup { flaw: Some(flaw), ..Setup::default() };
-            let found = (from..40).any(|n| !hunt(&setup, n * 16..n * 16 + 16).broken.is_empty());
+            let found = (from..40).any(|n| !run_seeds(&setup, n * 16..n * 16 + 16).violations.is_empty());
             assert!(found, "{flaw:?}");
         }
     }
 
     #[test]
     fn the_same_seed_gives_the_same_run() {
-        let (a, b) = (play(&Setup::default(), 7), play(&Setup::default(), 7));
-        assert_eq!((a.requests, a.answered, a.words), (b.requests, b.answered, b.words));
+        let (a, b) = (run(&Setup::default(), 7), run(&Setup::default(), 7));
+        assert_eq!((a.requests, a.answered, a.messages), (b.requests, b.answered, b.messages));
     }
 }
--- a/crates/sandgap-lab/src/takeover/proxy.rs
+++ b/crates/sandgap-lab/src/takeover/proxy.rs
@@ -1,5 +1,5 @@
-//! What stands for a proxy's front and decision module: it takes a request in hand, sends it, repeats what may be
-//! repeated, and ends it. Each first byte and each answer needs the keepers' word and the right to act.
+//! A stand-in for a proxy's front and decision module: it accepts a request, sends it, repeats it where that is
+//! allowed, and ends it. Each attempt and each answer first needs the keepers' confirmation and the right to act.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,258 +11,275 @@
 use sandgap_takeover::{Answer, Effect, End, Hands, Plan, Sent};
 
 use super::Flaw;
-use super::judge::Told;
+use super::checker::ClientResult;
 use crate::calendar::Nanos;
 
-/// For how long a cell drops repeats.
-pub const WINDOW: Duration = Duration::from_millis(2500);
-/// Cells; each backend stands in one.
+/// How long a cell deduplicates repeats.
+pub const DEDUP_WINDOW: Duration = Duration::from_millis(2500);
+/// Number of cells; each backend belongs to one.
 pub const CELLS: u64 = 2;
-/// Attempts at most.
-const ATTEMPTS: u32 = 3;
+/// Maximum number of attempts for a request.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// What a job waits for.
+/// What an active request waits for.
 #[derive(Clone, Debug, PartialEq)]
-enum Waits {
-    /// Its keepers.
+enum Pending {
+    /// The keepers' confirmation of its record.
     Kept,
-    /// Their word on an attempt, to a backend, and the step.
-    Clear(u64, u32),
-    /// The backend.
+    /// The keepers' confirmation of an attempt: the backend and the step.
+    SendConfirmed(u64, u32),
+    /// The backend's answer.
     Reply,
-    /// Their word on its end, and the step.
-    End(Told, u32),
+    /// The keepers' confirmation of its end: the client's result and the step.
+    EndConfirmed(ClientResult, u32),
 }
 
-/// One request in hand.
-pub struct Job {
-    /// Which.
-    pub wish: usize,
+/// A request that this proxy works on.
+pub struct ActiveRequest {
+    /// Number of the request at the checker.
+    pub index: usize,
     effect: Effect,
-    waits: Waits,
+    pending: Pending,
     attempts: u32,
-    /// The cell and until when it drops repeats, once it may have run.
-    bound: Option<(u64, Time)>,
+    /// The cell and until when it deduplicates repeats, once the request may have run there.
+    dedup: Option<(u64, Time)>,
     deadline: Time,
-    /// Its keepers have it.
+    /// Whether its keepers have its record.
     pub kept: bool,
 }
 
-/// What the world does for a proxy.
-pub enum Deed {
-    /// A request goes to a backend: which, the request's number here, its attempt.
-    Write(u64, u64, u32),
-    /// A client is told.
-    Tell(usize, Told),
-    /// An inherited request goes on.
-    GoesOn(usize),
+/// What the simulation has to do for a proxy.
+pub enum Action {
+    /// Send an attempt: the backend, the request's number at this proxy, the attempt's number.
+    Send(u64, u64, u32),
+    /// Tell a client its result.
+    Tell(usize, ClientResult),
+    /// A request that was taken over goes on.
+    Resumed(usize),
 }
 
-/// See the module.
+/// The state of one proxy's stand-in.
 pub struct Proxy {
-    /// What it has in hand.
-    pub jobs: BTreeMap<u64, Job>,
+    /// Requests that it works on, by their number at this proxy.
+    pub active: BTreeMap<u64, ActiveRequest>,
     flaw: Option<Flaw>,
-    draw: u64,
+    random_state: u64,
 }
 
-fn told(end: &End) -> Told {
+fn client_result(end: &End) -> ClientResult {
     match end {
         End::Answered(Answer::Whole(_, _, body)) => {
-            Told::Answer(body.first_chunk().map_or(0, |bytes| u64::from_le_bytes(*bytes)))
+            ClientResult::Answer(body.first_chunk().map_or(0, |bytes| u64::from_le_bytes(*bytes)))
         }
-        End::Answered(Answer::Digest(..)) => Told::NoWord,
-        End::Unknown => Told::Unknown,
-        End::Refused => Told::Refused,
+        End::Answered(Answer::Digest(..)) => ClientResult::Retry,
+        End::Unknown => ClientResult::Unknown,
+        End::Refused => ClientResult::Refused,
     }
 }
 
 impl Proxy {
-    /// One with nothing in hand.
-    pub fn new(flaw: Option<Flaw>, draw: u64) -> Self {
-        Proxy { jobs: BTreeMap::new(), flaw, draw }
+    /// A proxy without requests; `random_state` seeds its draws.
+    pub fn new(flaw: Option<Flaw>, random_state: u64) -> Self {
+        Proxy { active: BTreeMap::new(), flaw, random_state }
     }
 
-    /// A client's request has been taken in hand.
-    pub fn taken(&mut self, seq: u64, wish: usize, effect: Effect, deadline: Time) {
-        let waits = Waits::Kept;
-        let job = Job { wish, effect, waits, attempts: 0, bound: None, deadline, kept: false };
-        self.jobs.insert(seq, job);
+    /// Adds a client's request that waits for its keepers.
+    pub fn accept(&mut self, seq: u64, index: usize, effect: Effect, deadline: Time) {
+        let pending = Pending::Kept;
+        let request =
+            ActiveRequest { index, effect, pending, attempts: 0, dedup: None, deadline, kept: false };
+        self.active.insert(seq, request);
     }
 
-    fn drawn(&mut self, of: u64) -> u64 {
-        self.draw = drawn(self.draw);
-        (self.draw >> 33) % of
+    fn draw_below(&mut self, limit: u64) -> u64 {
+        self.random_state = drawn(self.random_state);
+        (self.random_state >> 33) % limit
     }
 
-    /// An inherited request may go on.
-    pub fn begin(&mut self, now: Time, begun: Begun, wish: usize, hands: &mut Hands, deeds: &mut Vec<Deed>) {
+    /// Continues a request that was taken over.
+    pub fn resume(
+        &mut self, now: Time, begun: Begun, index: usize, hands: &mut Hands, actions: &mut Vec<Action>,
+    ) {
         let Begun { seq, record, deadline, plan, .. } = begun;
         let cell = record.sent.first().and_then(|s| s.cell.as_ref()?.parse().ok());
-        let bound = match (plan, cell) {
+        let dedup = match (plan, cell) {
             (Plan::Again(until), Some(cell)) => Some((cell, until)),
             _ => None,
         };
         let attempts = record.sent.iter().map(|s| s.attempt + 1).max().unwrap_or(0);
-        let job =
-            Job { wish, effect: record.effect, waits: Waits::Kept, attempts, bound, deadline, kept: true };
-        self.jobs.insert(seq, job);
-        deeds.push(Deed::GoesOn(wish));
+        let request = ActiveRequest {
+            index,
+            effect: record.effect,
+            pending: Pending::Kept,
+            attempts,
+            dedup,
+            deadline,
+            kept: true,
+        };
+        self.active.insert(seq, request);
+        actions.push(Action::Resumed(index));
         self.send(now, seq, hands);
     }
 
     fn send(&mut self, now: Time, seq: u64, hands: &mut Hands) {
-        let backend = self.drawn(4 / CELLS);
-        let any = self.drawn(CELLS);
-        let Some(job) = self.jobs.get_mut(&seq) else { return };
-        let cell = job.bound.map_or(any, |(cell, _)| cell);
+        let backend = self.draw_below(4 / CELLS);
+        let any_cell = self.draw_below(CELLS);
+        let Some(request) = self.active.get_mut(&seq) else { return };
+        let cell = request.dedup.map_or(any_cell, |(cell, _)| cell);
         let backend = backend * CELLS + cell;
-        let window = (job.effect == Effect::Keyed).then_some(WINDOW);
+        let window = (request.effect == Effect::Keyed).then_some(DEDUP_WINDOW);
         let sent = Sent {
-            attempt: job.attempts,
+            attempt: request.attempts,
             backend: format!("b{backend}"),
             zone: None,
             cell: Some(cell.to_string()),
             window,
         };
-        job.attempts += 1;
+        request.attempts += 1;
         if self.flaw == Some(Flaw::SentNotRecorded) {
-            job.waits = Waits::Clear(backend, 0);
+            request.pending = Pending::SendConfirmed(backend, 0);
             return;
         }
         if let Some(step) = hands.sending(now, seq, sent) {
-            job.waits = Waits::Clear(backend, step);
+            request.pending = Pending::SendConfirmed(backend, step);
         }
     }
 
     fn end(&mut self, now: Time, seq: u64, end: End, hands: &mut Hands) {
-        let Some(job) = self.jobs.get_mut(&seq) else { return };
-        let told = told(&end);
+        let Some(request) = self.active.get_mut(&seq) else { return };
+        let result = client_result(&end);
         if let Some(step) = hands.ended(now, seq, end) {
-            job.waits = Waits::End(told, step);
+            request.pending = Pending::EndConfirmed(result, step);
         }
     }
 
-    /// All keepers have a step.
-    pub fn cleared(
-        &mut self, now: Time, seq: u64, step: u32, right: bool, hands: &mut Hands, deeds: &mut Vec<Deed>,
+    /// Handles the confirmation that all keepers have a step.
+    pub fn confirmed(
+        &mut self, now: Time, seq: u64, step: u32, may_act: bool, hands: &mut Hands,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(job) = self.jobs.get_mut(&seq) else { return };
-        job.kept = true;
-        match job.waits.clone() {
-            Waits::Kept => {
+        let Some(request) = self.active.get_mut(&seq) else { return };
+        request.kept = true;
+        match request.pending.clone() {
+            Pending::Kept => {
                 self.send(now, seq, hands);
-                self.hurry(now, seq, right, hands, deeds);
+                self.send_unconfirmed(now, seq, may_act, hands, actions);
             }
-            Waits::Clear(backend, wanted) if step >= wanted => {
-                self.write(now, seq, backend, right, hands, deeds);
+            Pending::SendConfirmed(backend, confirmed_step) if step >= confirmed_step => {
+                self.send_attempt(now, seq, backend, may_act, hands, actions);
             }
-            Waits::End(told, wanted) if step >= wanted => {
-                let Some(job) = self.jobs.remove(&seq) else { return };
-                let told = if right { told } else { Told::NoWord };
-                deeds.push(Deed::Tell(job.wish, told));
+            Pending::EndConfirmed(result, confirmed_step) if step >= confirmed_step => {
+                let Some(request) = self.active.remove(&seq) else { return };
+                let result = if may_act { result } else { ClientResult::Retry };
+                actions.push(Action::Tell(request.index, result));
                 hands.release(seq);
             }
             _ => {}
         }
     }
 
-    /// Flaws that wait for nobody.
-    fn hurry(&mut self, now: Time, seq: u64, right: bool, hands: &mut Hands, deeds: &mut Vec<Deed>) {
-        let hurries = matches!(self.flaw, Some(Flaw::SendBeforeKeeping | Flaw::SentNotRecorded));
-        if let Some(Waits::Clear(backend, _)) =
-            self.jobs.get(&seq).map(|j| j.waits.clone()).filter(|_| hurries)
+    /// Sends an attempt without the keepers' confirmation, where a flaw asks for that.
+    fn send_unconfirmed(
+        &mut self, now: Time, seq: u64, may_act: bool, hands: &mut Hands, actions: &mut Vec<Action>,
+    ) {
+        let unconfirmed = matches!(self.flaw, Some(Flaw::SendBeforeKeeping | Flaw::SentNotRecorded));
+        if let Some(Pending::SendConfirmed(backend, _)) =
+            self.active.get(&seq).map(|request| request.pending.clone()).filter(|_| unconfirmed)
         {
-            self.write(now, seq, backend, right, hands, deeds);
+            self.send_attempt(now, seq, backend, may_act, hands, actions);
         }
     }
 
-    fn write(
-        &mut self, now: Time, seq: u64, backend: u64, right: bool, hands: &mut Hands, deeds: &mut Vec<Deed>,
+    fn send_attempt(
+        &mut self, now: Time, seq: u64, backend: u64, may_act: bool, hands: &mut Hands,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(job) = self.jobs.get_mut(&seq) else { return };
-        if !right {
-            return; // the lease has lapsed: an heir goes on from here, or this one once it holds it again
+        let Some(request) = self.active.get_mut(&seq) else { return };
+        if !may_act {
+            return; // the lease has lapsed: a successor goes on, or this process once it holds the lease again
         }
-        let dropped = job.bound.is_none_or(|(_, until)| now < until);
-        if !dropped || now >= job.deadline {
-            let ran = job.bound.is_some() || job.effect == Effect::Unsafe && job.attempts > 1;
-            hands.unsent(now, seq, job.attempts - 1);
+        let deduplicated = request.dedup.is_none_or(|(_, until)| now < until);
+        if !deduplicated || now >= request.deadline {
+            let ran = request.dedup.is_some() || request.effect == Effect::Unsafe && request.attempts > 1;
+            hands.unsent(now, seq, request.attempts - 1);
             let end = if ran { End::Unknown } else { End::Refused };
             return self.end(now, seq, end, hands);
         }
-        if job.effect == Effect::Keyed && job.bound.is_none() {
-            job.bound = Some((backend % CELLS, now + WINDOW));
+        if request.effect == Effect::Keyed && request.dedup.is_none() {
+            request.dedup = Some((backend % CELLS, now + DEDUP_WINDOW));
         }
-        job.waits = Waits::Reply;
-        deeds.push(Deed::Write(backend, seq, job.attempts - 1));
+        request.pending = Pending::Reply;
+        actions.push(Action::Send(backend, seq, request.attempts - 1));
     }
 
-    /// A backend has answered, or its connection broke.
+    /// Handles a backend's answer, or `None` for a broken connection.
     pub fn reply(
-        &mut self, now: Time, seq: u64, answer: Option<u64>, right: bool, hands: &mut Hands,
-        deeds: &mut Vec<Deed>,
+        &mut self, now: Time, seq: u64, answer: Option<u64>, may_act: bool, hands: &mut Hands,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(job) = self.jobs.get_mut(&seq).filter(|job| job.waits == Waits::Reply) else { return };
+        let Some(request) = self.active.get_mut(&seq).filter(|request| request.pending == Pending::Reply)
+        else {
+            return;
+        };
         match answer {
             Some(answer) => {
                 let body = answer.to_le_bytes().to_vec();
                 self.end(now, seq, End::Answered(Answer::Whole(200, Vec::new(), body)), hands);
             }
-            None if job.effect == Effect::Unsafe => self.end(now, seq, End::Unknown, hands),
-            None if job.attempts >= ATTEMPTS || now >= job.deadline => {
-                let end = if job.effect == Effect::Safe { End::Refused } else { End::Unknown };
+            None if request.effect == Effect::Unsafe => self.end(now, seq, End::Unknown, hands),
+            None if request.attempts >= MAX_ATTEMPTS || now >= request.deadline => {
+                let end = if request.effect == Effect::Safe { End::Refused } else { End::Unknown };
                 self.end(now, seq, end, hands);
             }
             None => {
                 self.send(now, seq, hands);
-                self.hurry(now, seq, right, hands, deeds);
+                self.send_unconfirmed(now, seq, may_act, hands, actions);
             }
         }
     }
 
-    /// A request can't go on.
-    pub fn stopped(&mut self, now: Time, seq: u64, why: Why, hands: &mut Hands, deeds: &mut Vec<Deed>) {
-        let Some(job) = self.jobs.get_mut(&seq) else { return };
+    /// Handles that a request can't go on.
+    pub fn stop(&mut self, now: Time, seq: u64, why: Why, hands: &mut Hands, actions: &mut Vec<Action>) {
+        let Some(request) = self.active.get_mut(&seq) else { return };
         match why {
             Why::Ended(end) => {
-                deeds.push(Deed::Tell(job.wish, told(&end)));
-                self.jobs.remove(&seq);
+                actions.push(Action::Tell(request.index, client_result(&end)));
+                self.active.remove(&seq);
                 hands.release(seq);
             }
-            // Its client is told to come again, and the record ends once a keeper is in reach.
+            // Tells the client to retry; the record ends once a keeper is reachable.
             Why::NoKeeper | Why::Full => {
-                deeds.push(Deed::Tell(job.wish, Told::NoWord));
-                match job.waits {
-                    // A keeper may have it, unheard: there it has to end.
-                    Waits::Kept => {
+                actions.push(Action::Tell(request.index, ClientResult::Retry));
+                match request.pending {
+                    // A keeper may have the record although its confirmation never arrived; it has to end there.
+                    Pending::Kept => {
                         let step = hands.ended(now, seq, End::Refused).unwrap_or_default();
-                        job.waits = Waits::End(Told::NoWord, step);
+                        request.pending = Pending::EndConfirmed(ClientResult::Retry, step);
                     }
-                    _ if now < job.deadline + WINDOW => hands.retry(now, seq),
+                    _ if now < request.deadline + DEDUP_WINDOW => hands.retry(now, seq),
                     _ => {
-                        self.jobs.remove(&seq);
+                        self.active.remove(&seq);
                         hands.release(seq);
                     }
                 }
             }
             Why::Held(_) | Why::Differs | Why::Blind(_) | Why::Over => {
-                deeds.push(Deed::Tell(job.wish, Told::NoWord));
-                self.jobs.remove(&seq);
+                actions.push(Action::Tell(request.index, ClientResult::Retry));
+                self.active.remove(&seq);
                 hands.release(seq);
             }
         }
     }
 
-    /// This process may act for none of these any more.
-    pub fn over(&mut self, deeds: &mut Vec<Deed>) {
-        for job in std::mem::take(&mut self.jobs).into_values() {
-            deeds.push(Deed::Tell(job.wish, Told::NoWord));
+    /// Drops all active requests, since this process no longer may act for them.
+    pub fn drop_all(&mut self, actions: &mut Vec<Action>) {
+        for request in std::mem::take(&mut self.active).into_values() {
+            actions.push(Action::Tell(request.index, ClientResult::Retry));
         }
     }
 }
 
-/// A span of virtual time as a duration.
-pub fn span(ns: Nanos) -> Duration {
+/// Converts virtual time to a duration.
+pub fn duration(ns: Nanos) -> Duration {
     Duration::from_nanos(ns)
 }
