--- a/crates/sandgap-lab/src/cost.rs
+++ b/crates/sandgap-lab/src/cost.rs
@@ -1,4 +1,5 @@
-//! What a decision costs: the module alone, fed with requests and ends at a steady load, by the number of servers.
+//! Benchmark of the decision module by the number of servers: it gets requests and their ends at a steady load,
+//! without a proxy around it.
 
 use std::time::Instant;
 
@@ -13,18 +14,18 @@
 use crate::calendar::{Calendar, MS, Nanos, nanos};
 use crate::streams::stream;
 
-/// The cost at one size.
+/// The cost for one number of servers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Cost {
-    /// Servers.
+    /// Number of servers.
     pub servers: u32,
-    /// Requests that were decided.
+    /// Number of requests that were decided.
     pub requests: u64,
-    /// Median over the rounds: wall nanoseconds for each event given to the module, ticks among them.
+    /// Wall time for each event given to the module, ticks included, ns; the median over the rounds.
     pub event_ns: f64,
-    /// The same for each request: all events over all requests.
+    /// Wall time of all events over the number of requests, ns.
     pub request_ns: f64,
-    /// The part of it that ticks take.
+    /// Fraction of the time that ticks take.
     pub tick_part: f64,
 }
 
@@ -61,17 +62,17 @@
     }
 }
 
-enum Next {
+enum LoadEvent {
     Arrive,
     End(u64, f64),
     Timer(u64),
 }
 
-/// Feeds the module at 60% of what the servers can do, 4 cores each, and times it. The load grows with the servers
-/// up to `most_rate` requests a second, so that ticks weigh as they would.
-pub fn measure(servers: u32, requests: u64, most_rate: f64) -> Cost {
+/// Times the module under a load of 60% of the capacity of the servers, 4 cores each. The load grows with the number of
+/// servers up to `max_rate` requests a second, so that ticks have a realistic share.
+pub fn measure(servers: u32, requests: u64, max_rate: f64) -> Cost {
     let mut rng = stream(1, "cost", u64::from(servers));
-    let mut module = Balancer::new(settings(), 1);
+    let mut balancer = Balancer::new(settings(), 1);
     let mut out: Vec<Action> = Vec::new();
     let entries = (0..servers)
         .map(|i| Backend {
@@ -84,64 +85,64 @@
             since: None,
         })
         .collect();
-    let mut cal: Calendar<Next> = Calendar::default();
-    module.handle(0.0, Event::List { scope: Scope::Full, entries }, &mut out);
-    cal.push(0, Next::Arrive);
-    let rate = (f64::from(servers) * 4.0 * 0.6 / 0.020).min(most_rate);
+    let mut calendar: Calendar<LoadEvent> = Calendar::default();
+    balancer.handle(0.0, Event::List { scope: Scope::Full, entries }, &mut out);
+    calendar.push(0, LoadEvent::Arrive);
+    let rate = (f64::from(servers) * 4.0 * 0.6 / 0.020).min(max_rate);
     let (mut count, mut events) = (0u64, 0u64);
-    let (mut rounds, mut in_ticks, mut in_all) = (Vec::new(), 0.0, 0.0);
+    let (mut round_means, mut tick_ns, mut total_ns) = (Vec::new(), 0.0, 0.0);
     let per_round = (requests / 10).max(1);
-    let (mut round, mut round_events) = (0.0, 0u64);
+    let (mut round_ns, mut round_events) = (0.0, 0u64);
     loop {
         for action in out.drain(..) {
             match action {
                 Action::Send { request, .. } => {
-                    let took = 20.0 * (0.5 + rng.random::<f64>());
-                    cal.push(cal.now() + nanos(took), Next::End(request.0, took));
+                    let service_ms = 20.0 * (0.5 + rng.random::<f64>());
+                    calendar.push(calendar.now() + nanos(service_ms), LoadEvent::End(request.0, service_ms));
                 }
                 Action::Timer { token, at } => {
-                    cal.push((nanos(at) as Nanos).max(cal.now()), Next::Timer(token))
+                    calendar.push((nanos(at) as Nanos).max(calendar.now()), LoadEvent::Timer(token))
                 }
                 _ => {}
             }
         }
-        let Some((at, next)) = cal.pop() else { break };
+        let Some((at, next)) = calendar.pop() else { break };
         let (event, tick) = match next {
-            Next::Arrive => {
+            LoadEvent::Arrive => {
                 if count >= requests {
                     break;
                 }
                 let step: f64 = Exp1.sample(&mut rng);
-                cal.push(at + nanos(step * 1000.0 / rate), Next::Arrive);
+                calendar.push(at + nanos(step * 1000.0 / rate), LoadEvent::Arrive);
                 count += 1;
                 let class = ClassId(usize::from(rng.random::<f64>() < 0.4));
                 let id = RequestId(count);
                 (Event::Request { id, class, tenant: None, key: None, budget: 1000.0, hint: None }, false)
             }
-            Next::End(request, latency) => {
+            LoadEvent::End(request, latency) => {
                 let (request, outcome) = (RequestId(request), Outcome::Served);
                 (Event::Ended { request, attempt: 0, latency, outcome, closed: true }, false)
             }
-            Next::Timer(token) => (Event::Timer(token), true),
+            LoadEvent::Timer(token) => (Event::Timer(token), true),
         };
         let start = Instant::now();
-        module.handle(at as f64 / MS as f64, event, &mut out);
-        let spent = start.elapsed().as_secs_f64() * 1e9;
+        balancer.handle(at as f64 / MS as f64, event, &mut out);
+        let elapsed_ns = start.elapsed().as_secs_f64() * 1e9;
         (events, round_events) = (events + 1, round_events + 1);
-        (in_all, round) = (in_all + spent, round + spent);
-        in_ticks += if tick { spent } else { 0.0 };
+        (total_ns, round_ns) = (total_ns + elapsed_ns, round_ns + elapsed_ns);
+        tick_ns += if tick { elapsed_ns } else { 0.0 };
         if count % per_round == 0 && round_events >= per_round {
-            rounds.push(round / round_events as f64);
-            (round, round_events) = (0.0, 0);
+            round_means.push(round_ns / round_events as f64);
+            (round_ns, round_events) = (0.0, 0);
         }
     }
-    rounds.sort_by(f64::total_cmp);
-    let event_ns = rounds.get(rounds.len() / 2).copied().unwrap_or(in_all / events.max(1) as f64);
+    round_means.sort_by(f64::total_cmp);
+    let event_ns = round_means.get(round_means.len() / 2).copied().unwrap_or(total_ns / events.max(1) as f64);
     Cost {
         servers,
         requests: count,
         event_ns,
-        request_ns: in_all / count.max(1) as f64,
-        tick_part: in_ticks / in_all.max(1e-9),
+        request_ns: total_ns / count.max(1) as f64,
+        tick_part: tick_ns / total_ns.max(1e-9),
     }
 }
--- a/crates/sandgap-lab/src/main.rs
+++ b/crates/sandgap-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `sandgap-lab`: fleets in virtual time from the command line.
+//! `sandgap-lab`: simulates whole fleets in virtual time, from the command line.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,8 +12,8 @@
 use sandgap_lab::run::MEASURES;
 use sandgap_lab::{agree, checks, cost, hunt, limiters, report, run, takeover};
 
-/// A file or a call that is wrong.
-const WRONG: u8 = 2;
+/// Exit code for a wrong file or command line.
+const USAGE_ERROR: u8 = 2;
 
 #[derive(Parser)]
 #[command(
@@ -28,168 +28,170 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays an experiment file and writes what came of it
+    /// Runs an experiment file and writes its results
     Run {
-        /// The file
+        /// The experiment file
         file: PathBuf,
-        /// Runs that go side by side; all processors where it is left out
+        /// Number of parallel runs; defaults to the number of processors
         #[arg(long)]
         jobs: Option<usize>,
         /// The folder for CSV, JSON and the HTML report
         #[arg(long)]
         out: Option<PathBuf>,
-        /// Also measures what a decision costs, in cost.csv
+        /// Also measures the wall time of decisions, in cost.csv
         #[arg(long)]
         cost: bool,
     },
-    /// Tells all that is wrong with an experiment file
+    /// Reports all errors in an experiment file
     Check {
-        /// The file
+        /// The experiment file
         file: PathBuf,
     },
-    /// Tells what moved beyond noise between two folders of results
+    /// Reports the figures that moved beyond noise between two folders of results
     Compare {
-        /// The first
+        /// The first folder
         a: PathBuf,
-        /// The second
+        /// The second folder
         b: PathBuf,
     },
     /// Searches seeds for broken rules
     Hunt {
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 1000)]
         seeds: u64,
-        /// The first of them
+        /// The first seed
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Runs that go side by side
+        /// Number of parallel runs
         #[arg(long)]
         jobs: Option<usize>,
-        /// What to explain of what is found, at most
+        /// Maximum number of failing seeds to explain
         #[arg(long, default_value_t = 3)]
         explain: usize,
         #[command(flatten)]
-        fleet: Which,
+        fleet: FleetArgs,
     },
-    /// Tells the story of a seed, or of one request of it
+    /// Prints the history of a seed's run, or of one request of it
     Replay {
         /// The seed
         seed: u64,
-        /// The request
+        /// The request's number
         #[arg(long)]
         request: Option<u32>,
         #[command(flatten)]
-        fleet: Which,
+        fleet: FleetArgs,
     },
-    /// Holds the model against what is known exactly (minutes)
+    /// Checks the simulator against exact results (takes minutes)
     Theory {
-        /// What
+        /// The results to check
         #[arg(value_enum)]
         part: Part,
         /// Requests for each point of the M/M/m check, over all its runs
         #[arg(long, default_value_t = 4_000_000)]
         requests: u64,
     },
-    /// Measures what a decision costs by the number of servers
+    /// Measures the cost of a decision by the number of servers
     Cost {
-        /// Requests at each size
+        /// Requests for each number of servers
         #[arg(long, default_value_t = 200_000)]
         requests: u64,
         /// Numbers of servers
         #[arg(long, value_delimiter = ',', default_value = "10,100,1000,10000")]
         servers: Vec<u32>,
-        /// Requests a second at most
+        /// Maximum requests per second
         #[arg(long, default_value_t = 2500.0)]
         rate: f64,
     },
-    /// Holds the module's limiter against those in common use, on servers of hidden size
+    /// Compares the module's limiter with those in common use, on servers whose size it does not know
     Limiters {
-        /// The seed of the works
+        /// The seed of the requests' work
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Works of exponential spread
+        /// Draws the work from an exponential distribution
         #[arg(long)]
         spread: bool,
     },
-    /// Plays agreed rules under faults; exits 1 where proxies could contradict each other for longer than stated
+    /// Simulates rule agreement under faults; exits 1 if a violation is found, such as proxies that could contradict each
+    /// other for longer than stated
     Agree {
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 200)]
         seeds: u64,
-        /// The first of them
+        /// The first seed
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Voters
+        /// Number of voters
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u16).range(1..=9))]
         voters: u16,
-        /// Other proxies
+        /// Number of proxies that do not vote
         #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u16).range(0..=1000))]
         observers: u16,
-        /// The stated time, ms
+        /// The stated bound on contradictions, ms
         #[arg(long, default_value_t = 1000, value_parser = clap::value_parser!(u64).range(100..=60_000))]
         bound_ms: u64,
-        /// The stated drift, ppm
+        /// The stated clock drift, ppm
         #[arg(long, default_value_t = 1000)]
         ppm: u32,
-        /// Contradicting versions are kept apart by waiting
+        /// Keeps contradicting versions apart by waiting
         #[arg(long)]
         apart: bool,
-        /// Nothing goes wrong
+        /// Runs without faults
         #[arg(long)]
         calm: bool,
-        /// One partition of this shape in place of all faults
+        /// A single partition of this shape in place of all other faults
         #[arg(long, value_enum)]
         only: Option<agree::faults::PartitionShape>,
-        /// Something wrong by intent
+        /// A flaw to inject, which the run should find
         #[arg(long, value_enum)]
         flaw: Option<agree::Flaw>,
     },
-    /// Plays takeover under faults; exits 1 where a request took effect twice or got two answers
+    /// Simulates request takeover under faults; exits 1 if a violation is found, such as a request that took effect twice
+    /// or got two answers
     Takeover {
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 100)]
         seeds: u64,
-        /// The first of them
+        /// The first seed
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Proxies that do not vote, beside five that do
+        /// Number of proxies that do not vote, besides five voters
         #[arg(long, default_value_t = 7, value_parser = clap::value_parser!(u16).range(0..=1000))]
         observers: u16,
-        /// Proxies beside its owner that keep each request
+        /// Number of proxies that keep a record of each request, besides its owner
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=2))]
         keepers: u8,
-        /// Between two requests in the mean, ms
+        /// Mean interval between requests, ms
         #[arg(long, default_value_t = 8)]
         every_ms: u64,
-        /// Nothing goes wrong
+        /// Runs without faults
         #[arg(long)]
         calm: bool,
-        /// Something wrong by intent
+        /// A flaw to inject, which the run should find
         #[arg(long, value_enum)]
         flaw: Option<takeover::Flaw>,
     },
-    /// Measures how fast the laboratory itself is
+    /// Measures the speed of the simulator itself
     Speed,
 }
 
-/// Which fleet, and who decides there.
+/// The fleet to simulate and the policy that decides there.
 #[derive(Args)]
-struct Which {
-    /// An experiment file, at the first point of its sweeps; the mixed schedule where it is left out
+struct FleetArgs {
+    /// An experiment file, of which the first point of the sweeps is used; defaults to the built-in mixed schedule
     #[arg(long)]
     file: Option<PathBuf>,
-    /// Who decides
+    /// The policy that decides
     #[arg(long, value_enum, default_value = "sandgap")]
     policy: PolicyKind,
-    /// A driver that breaks a rule
+    /// A defect of the driver that breaks a rule
     #[arg(long, value_enum)]
     defect: Option<Defect>,
 }
 
-impl Which {
+impl FleetArgs {
     fn experiment(&self) -> Result<Experiment, String> {
         let mut e = match &self.file {
-            Some(path) => read(path)?.remove(0).experiment,
+            Some(path) => read_points(path)?.remove(0).experiment,
             None => hunt::mixed(),
         };
         e.fleet.defect = self.defect.or(e.fleet.defect);
@@ -197,36 +199,36 @@
     }
 }
 
-fn read(path: &Path) -> Result<Vec<Point>, String> {
+fn read_points(path: &Path) -> Result<Vec<Point>, String> {
     file::read(path).map_err(|e| e.to_string())
 }
 
-fn threads(jobs: Option<usize>) -> Result<(), String> {
+fn set_threads(jobs: Option<usize>) -> Result<(), String> {
     let Some(jobs) = jobs else { return Ok(()) };
     let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs);
-    pool.build_global().map_err(|e| format!("{jobs} threads can't be had: {e}"))
+    pool.build_global().map_err(|e| format!("can't start {jobs} threads: {e}"))
 }
 
 fn main() -> ExitCode {
-    match act(Cli::parse().command) {
+    match run_command(Cli::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(text) => {
             eprintln!("{text}");
-            ExitCode::from(WRONG)
+            ExitCode::from(USAGE_ERROR)
         }
     }
 }
 
-/// Whether all was well; a broken rule is not.
-fn act(command: Command) -> Result<bool, String> {
+/// Runs a command and returns whether it found nothing wrong, such as a broken rule.
+fn run_command(command: Command) -> Result<bool, String> {
     match command {
         Command::Run { file, jobs, out, cost } => {
-            threads(jobs)?;
-            play(&file, out, cost)
+            set_threads(jobs)?;
+            run_experiment(&file, out, cost)
         }
         Command::Check { file } => {
-            let points = read(&file)?;
+            let points = read_points(&file)?;
             let runs: u64 = points
                 .iter()
                 .map(|p| p.experiment.policies.len() as u64 * u64::from(p.experiment.repetitions))
@@ -235,28 +237,28 @@
             Ok(true)
         }
         Command::Compare { a, b } => {
-            let of = |f: &Path| report::read(f).map_err(|e| e.to_string());
-            print!("{}", report::compare(&of(&a)?, &of(&b)?));
+            let results = |f: &Path| report::read(f).map_err(|e| e.to_string());
+            print!("{}", report::compare(&results(&a)?, &results(&b)?));
             Ok(true)
         }
         Command::Hunt { seeds, from, jobs, explain, fleet } => {
-            threads(jobs)?;
+            set_threads(jobs)?;
             let e = fleet.experiment()?;
-            let caught = hunt::hunt(&e, fleet.policy, from..from + seeds, true).map_err(|e| e.to_string())?;
+            let result = hunt::hunt(&e, fleet.policy, from..from + seeds, true).map_err(|e| e.to_string())?;
             println!(
                 "{} seeds from {from}: {} requests, {} served, {} seeds broke a rule",
-                caught.seeds,
-                caught.requests,
-                caught.served,
-                caught.found.len()
+                result.seeds,
+                result.requests,
+                result.served,
+                result.found.len()
             );
-            for found in caught.found.iter().take(explain) {
+            for found in result.found.iter().take(explain) {
                 print!("{}", hunt::explain(&e, fleet.policy, found).map_err(|e| e.to_string())?);
             }
-            for found in caught.found.iter().skip(explain).take(50) {
-                println!("seed {}: {:?}: {}", found.seed, found.rules, found.what);
+            for found in result.found.iter().skip(explain).take(50) {
+                println!("seed {}: {:?}: {}", found.seed, found.rules, found.description);
             }
-            Ok(caught.found.is_empty())
+            Ok(result.found.is_empty())
         }
         Command::Replay { seed, request, fleet } => {
             let e = fleet.experiment()?;
@@ -334,24 +336,24 @@
     }
 }
 
-fn play(path: &Path, out: Option<PathBuf>, cost: bool) -> Result<bool, String> {
-    let points = read(path)?;
+fn run_experiment(path: &Path, out: Option<PathBuf>, cost: bool) -> Result<bool, String> {
+    let points = read_points(path)?;
     let folder = path.parent().unwrap_or(Path::new("."));
     let (results, costs) = run::play(&points, folder, cost, true).map_err(|e| e.to_string())?;
-    let shown = [0, 1, 3, 5, 7];
+    let measures = [0, 1, 3, 5, 7];
     print!("{:<34} {:<16}", "point", "policy");
-    shown.iter().for_each(|i| print!(" {:>20}", MEASURES[*i].0));
+    measures.iter().for_each(|i| print!(" {:>20}", MEASURES[*i].0));
     println!(" {:>7}", "broken");
     let mut broken = 0;
     for c in &results.cells {
         print!("{:<34} {:<16}", run::words(&c.set), c.policy.name());
-        for i in shown {
+        for i in measures {
             let e = &c.estimates[i];
             print!(" {:>20}", format!("{:.4} ± {:.4}", e.mean, e.half));
         }
-        let of: usize = c.runs.iter().map(|r| r.broken + usize::from(r.incomplete)).sum();
-        println!(" {of:>7}");
-        broken += of;
+        let failures: usize = c.runs.iter().map(|r| r.broken + usize::from(r.incomplete)).sum();
+        println!(" {failures:>7}");
+        broken += failures;
     }
     if cost {
         costs
--- a/crates/sandgap-lab/src/measure.rs
+++ b/crates/sandgap-lab/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a run measures. All of it in bounded memory; none of it depends on a clock, a thread or a hash's order.
+//! Measurements of a run. They take bounded memory and don't depend on wall time, threads or hash order.
 
 use serde::Serialize;
 
@@ -7,55 +7,55 @@
 use crate::limits::WINDOWS;
 use sandgap_rules::{Latencies, Verdict};
 
-/// How a task ended: a client's first try and whatever it tried again.
+/// How a task (a client's first try with all its retries) ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// It got an answer.
+    /// The client got an answer.
     Served,
-    /// It was refused for good.
+    /// The client was refused and does not retry.
     Refused,
-    /// It failed for good.
+    /// The request failed and its client does not retry.
     Failed,
-    /// Its client left first.
+    /// The client gave up waiting.
     Left,
-    /// Nothing came, or its proxy died under it.
+    /// No answer came, or its proxy died.
     Lost,
-    /// No proxy took it.
+    /// No proxy accepted it.
     Untaken,
 }
 
-/// Sums over the tasks that are counted.
+/// Sums over counted tasks.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Sums {
-    /// Tasks.
+    /// Number of tasks.
     pub asked: u64,
-    /// Served.
+    /// Tasks served.
     pub served: u64,
-    /// Served within the aim, from the first try on.
+    /// Tasks served within their class's aim, measured from the first try.
     pub in_time: u64,
-    /// Refused.
+    /// Tasks refused.
     pub refused: u64,
-    /// Failed.
+    /// Tasks failed.
     pub failed: u64,
-    /// Left.
+    /// Tasks whose client gave up.
     pub left: u64,
-    /// Lost.
+    /// Tasks without an answer.
     pub lost: u64,
-    /// Not taken.
+    /// Tasks that no proxy accepted.
     pub untaken: u64,
-    /// Worth of all.
+    /// Worth of all tasks.
     pub worth: f64,
-    /// Worth of those served in time.
+    /// Worth of the tasks served in time.
     pub worth_in_time: f64,
 }
 
 impl Sums {
-    /// Worth in time over worth asked for.
+    /// Worth of tasks served in time over the worth of all tasks; 1 without tasks.
     pub fn goodput(&self) -> f64 {
         if self.worth > 0.0 { self.worth_in_time / self.worth } else { 1.0 }
     }
 
-    /// Part of the tasks.
+    /// `of` as a fraction of all tasks; 0 without tasks.
     pub fn part(&self, of: u64) -> f64 {
         if self.asked > 0 { of as f64 / self.asked as f64 } else { 0.0 }
     }
@@ -78,39 +78,39 @@
     }
 }
 
-/// What a run measured.
+/// Measurements of a run.
 #[derive(Clone, Debug)]
 pub struct Measures {
-    /// Over all counted tasks.
+    /// Sums over all counted tasks.
     pub all: Sums,
-    /// By class.
+    /// Sums of counted tasks by class.
     pub by_class: Vec<Sums>,
-    /// By the time of the first try.
+    /// Sums of all tasks by the time of their first try, one for each window.
     pub course: Vec<Sums>,
-    /// Length of a window of the course.
+    /// Length of a window of the course, ns.
     pub window: Nanos,
-    /// Of served tasks, from the first try to the answer.
+    /// Latencies of served tasks, from the first try to the answer.
     pub latencies: Latencies,
-    /// The sum of the same, s: for means.
+    /// Sum of these latencies, s, for the mean.
     pub latency_sum: f64,
-    /// Requests that clients sent, tries again included, over the whole run.
+    /// Requests that clients sent over the whole run, including retries.
     pub requests: u64,
-    /// Attempts that proxies began, over the whole run.
+    /// Attempts that proxies began over the whole run.
     pub attempts: u64,
-    /// Of them, those that crossed zones.
+    /// Of these, attempts that crossed zones.
     pub crossings: u64,
     /// Datagrams that proxies sent.
     pub datagrams: u64,
-    /// Servers pushed over.
+    /// Cold servers that load pushed over.
     pub fallen: u64,
-    /// Events of the model.
+    /// Events that the simulator handled.
     pub events: u64,
-    from: Nanos,
-    to: Nanos,
+    counted_from: Nanos,
+    counted_to: Nanos,
 }
 
 impl Measures {
-    /// Nothing yet.
+    /// Empty measurements for an experiment; tasks count from the end of its warm-up to the end of its load.
     pub fn new(e: &Experiment) -> Self {
         let from = (e.warm_seconds * SECOND as f64) as Nanos;
         let to = from + (e.seconds * SECOND as f64) as Nanos;
@@ -128,50 +128,50 @@
             datagrams: 0,
             fallen: 0,
             events: 0,
-            from,
-            to,
+            counted_from: from,
+            counted_to: to,
         }
     }
 
-    /// When the load ends.
+    /// When the load ends, ns.
     pub fn end(&self) -> Nanos {
-        self.to
+        self.counted_to
     }
 
-    /// A task has ended.
+    /// Records the end of a task that started at `first`.
     pub fn task(&mut self, e: &Experiment, class: usize, first: Nanos, now: Nanos, ended: Ended) {
         let spec = &e.classes[class];
-        let took = now - first;
-        let in_time = ended == Ended::Served && took as f64 <= spec.aim_ms * 1e6;
+        let latency = now - first;
+        let in_time = ended == Ended::Served && latency as f64 <= spec.aim_ms * 1e6;
         if let Some(w) = self.course.get_mut((first / self.window) as usize) {
             w.add(spec.worth, ended, in_time);
         }
-        if first < self.from || first >= self.to {
+        if first < self.counted_from || first >= self.counted_to {
             return;
         }
         self.all.add(spec.worth, ended, in_time);
         self.by_class[class].add(spec.worth, ended, in_time);
         if ended == Ended::Served {
-            self.latencies.add(took / 1000);
-            self.latency_sum += took as f64 / SECOND as f64;
+            self.latencies.add(latency / 1000);
+            self.latency_sum += latency as f64 / SECOND as f64;
         }
     }
 
-    /// The mean of served tasks, ms.
+    /// Mean latency of served tasks, ms; 0 without any.
     pub fn mean_ms(&self) -> f64 {
         if self.all.served > 0 { self.latency_sum * 1000.0 / self.all.served as f64 } else { 0.0 }
     }
 }
 
-/// The end of a run.
+/// The outcome of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// What it measured.
+    /// Measurements.
     pub measures: Measures,
-    /// What the rules say.
+    /// Verdict of the rules.
     pub verdict: Verdict,
-    /// What the module did that it must not, the first of each.
+    /// Invalid actions of the decision module, each kind once.
     pub odd: Vec<&'static str>,
-    /// Wall time in the decider and how often it was asked, where that was timed; never part of a result.
+    /// Wall time spent in decisions, s, and their number, if timed; never part of a result.
     pub decided: Option<(f64, u64)>,
 }
--- a/crates/sandgap-lab/src/paper.rs
+++ b/crates/sandgap-lab/src/paper.rs
@@ -1,6 +1,6 @@
-//! The paper's queue as a simulation: one queue, exponential servers of several speeds, any number of slow ones.
-//! Everything has no memory, so that the next event is drawn from the rates alone. It checks the exact figures of
-//! [`crate::theory`] by another way.
+//! Simulation of the queue in the paper of Shenker and Weinrib (see [`crate::theory`]): one queue, exponential servers
+//! of several speeds, any number of slow ones. All times are memoryless, so the next event is drawn from the rates
+//! alone. It checks the exact figures of [`crate::theory`] independently.
 
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1};
@@ -9,21 +9,21 @@
 use crate::streams::Stream;
 use crate::theory::ManySpeed;
 
-/// What a run of the queue saw.
+/// Estimates from a run of the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Seen {
     /// Mean delay of a job.
     pub delay: Estimate,
-    /// Mean number at the finite classes and in the queue.
+    /// Mean number of jobs at the servers of the finite classes and in the queue.
     pub n: Estimate,
-    /// Part of the jobs that went to slow servers.
+    /// Fraction of the jobs that went to slow servers.
     pub z: Estimate,
 }
 
-/// Batches of a run.
+/// Number of batches of a run.
 const BATCHES: usize = 25;
 
-/// Plays so many jobs under thresholds, after a sixth of them to warm up (as the paper did).
+/// Simulates this number of jobs under thresholds, after a warm-up of a sixth of them (as in the paper).
 pub fn play(system: &ManySpeed, thresholds: &[u32], jobs: u64, rng: &mut Stream) -> Seen {
     let k = system.classes.len();
     let (mut busy, mut waiting) = (vec![0u32; k], 0u32);
@@ -35,10 +35,10 @@
         while arrived < count {
             let serving: f64 = busy.iter().zip(&system.classes).map(|(b, c)| f64::from(*b) * c.0).sum();
             let rate = system.lambda + serving;
-            let step: f64 = Exp1.sample(rng);
-            let held = f64::from(busy.iter().sum::<u32>() + waiting);
-            time += step / rate;
-            area += held * step / rate;
+            let interval: f64 = Exp1.sample(rng);
+            let jobs_in_system = f64::from(busy.iter().sum::<u32>() + waiting);
+            time += interval / rate;
+            area += jobs_in_system * interval / rate;
             let mut x = rng.random::<f64>() * rate;
             if x < system.lambda {
                 arrived += 1;
@@ -67,7 +67,7 @@
             }
         }
         if batch > 0 {
-            // Little's law for the finite part; a slow server holds a job for 1/slow in the mean.
+            // Little's law for the finite part; a slow server holds a job for 1/slow on average.
             let z = slow as f64 / arrived as f64;
             delays.push(area / arrived as f64 + z / system.slow);
             numbers.push(area / time);
@@ -84,7 +84,7 @@
     use crate::theory::{Heuristic, TwoSpeed};
 
     #[test]
-    fn the_queue_plays_what_the_formulas_say() {
+    fn the_simulation_agrees_with_the_formulas() {
         let s = TwoSpeed { m: 5, rho: 0.8, ratio: 4.0 };
         let system = ManySpeed { classes: vec![(1.0, 5)], slow: 0.25, lambda: 4.0 };
         let tau = system.thresholds(Heuristic::D);
@@ -92,8 +92,8 @@
         for (what, got, want) in
             [("D", seen.delay, s.d(tau[1])), ("N", seen.n, s.n(tau[1])), ("Z", seen.z, s.z(tau[1]))]
         {
-            let slack = 3.0 * got.half + 1e-9;
-            assert!((got.mean - want).abs() < slack, "{what}: {got:?} for {want}");
+            let tolerance = 3.0 * got.half + 1e-9;
+            assert!((got.mean - want).abs() < tolerance, "{what}: {got:?} for {want}");
         }
     }
 }
--- a/crates/sandgap-lab/src/theory.rs
+++ b/crates/sandgap-lab/src/theory.rs
@@ -1,22 +1,23 @@
-//! What is known exactly: Erlang's formulas, the two-speed model of Shenker and Weinrib ("The optimal control of
-//! heterogeneous queueing systems", IEEE ToC 1989; formula numbers are theirs) and, for any number of speeds, the
-//! exact optimum as a Markov decision process.
+//! Exact results to check the simulator against: Erlang's formulas, the two-speed model of Shenker and Weinrib ("The
+//! optimal control of heterogeneous queueing systems", IEEE ToC 1989; formula numbers are theirs) and, for any number of
+//! speeds, the exact optimum as a Markov decision process.
 
 use serde::Serialize;
 
-/// Erlang's B: the part of arrivals that find all `m` servers busy where nothing waits; `load` is arrivals over
-/// the rate of one server.
+/// Erlang B: the fraction of arrivals that find all `m` servers busy in a system without a queue; `load` is the
+/// arrival rate over the rate of one server.
 pub fn erlang_b(m: u32, load: f64) -> f64 {
     (1..=m).fold(1.0, |b, k| load * b / (f64::from(k) + load * b))
 }
 
-/// Erlang's C: the part of arrivals that wait where all may; `rho` is the load of each server, below 1.
+/// Erlang C: the fraction of arrivals that wait in a system with an unlimited queue; `rho` is the load of each server,
+/// below 1.
 pub fn erlang_c(m: u32, rho: f64) -> f64 {
     let b = erlang_b(m, f64::from(m) * rho);
     b / (1.0 - rho * (1.0 - b))
 }
 
-/// Mean time in an M/M/m system, in mean service times.
+/// Mean time of a job in an M/M/m system, in mean service times.
 pub fn mmm_delay(m: u32, rho: f64) -> f64 {
     1.0 + erlang_c(m, rho) / (f64::from(m) * (1.0 - rho))
 }
@@ -24,16 +25,16 @@
 /// The two-speed model: `m` fast servers of rate 1 and any number of slow ones of rate 1/`ratio`.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct TwoSpeed {
-    /// Fast servers.
+    /// Number of fast servers.
     pub m: u32,
-    /// Arrivals over what the fast servers can do.
+    /// Arrival rate over the capacity of the fast servers.
     pub rho: f64,
-    /// Fast rate over slow rate.
+    /// Rate of a fast server over that of a slow one.
     pub ratio: f64,
 }
 
 impl TwoSpeed {
-    /// The stationary law of the M/M/m/K system that a threshold makes of the fast servers, K = m + tau.
+    /// The stationary distribution of the M/M/m/K system that a threshold makes of the fast servers, with K = m + tau.
     fn states(&self, tau: u32) -> Vec<f64> {
         let load = f64::from(self.m) * self.rho;
         let mut p = vec![1.0f64];
@@ -48,7 +49,7 @@
         p.iter().map(|q| q / sum).collect()
     }
 
-    /// Mean number in the fast system, by (3.2a). `None` at rho = 1, where the formula divides by nothing.
+    /// Mean number in the fast system, by (3.2a). `None` at rho = 1, where the formula divides by zero.
     pub fn n_formula(&self, tau: u32) -> Option<f64> {
         let (m, r) = (f64::from(self.m), self.rho);
         if (r - 1.0).abs() < 1e-9 {
@@ -60,7 +61,7 @@
         Some((m * r + b * m * r * (g - 1.0) + b * r * tail) / (1.0 + b * r * g))
     }
 
-    /// Part of the jobs that go to slow servers, by (3.2b).
+    /// Fraction of the jobs that go to slow servers, by (3.2b). `None` at rho = 1.
     pub fn z_formula(&self, tau: u32) -> Option<f64> {
         let r = self.rho;
         if (r - 1.0).abs() < 1e-9 {
@@ -70,12 +71,12 @@
         Some(b * r.powi(tau as i32) / (1.0 + b * r * (1.0 - r.powi(tau as i32)) / (1.0 - r)))
     }
 
-    /// N by the stationary law.
+    /// Mean number in the fast system (N), by the stationary distribution.
     pub fn n(&self, tau: u32) -> f64 {
         self.states(tau).iter().enumerate().map(|(x, p)| x as f64 * p).sum()
     }
 
-    /// Z by the stationary law.
+    /// Fraction of the jobs that go to slow servers (Z), by the stationary distribution.
     pub fn z(&self, tau: u32) -> f64 {
         self.states(tau)[(self.m + tau) as usize]
     }
@@ -85,10 +86,10 @@
         self.n(tau) / (f64::from(self.m) * self.rho) + self.z(tau) * self.ratio
     }
 
-    /// The threshold with the least delay, by trying all that may be it.
+    /// The threshold with the least delay, by trying all candidates.
     pub fn best_tau(&self) -> u32 {
-        let top = (f64::from(self.m) * (self.ratio - 1.0)).floor() as u32;
-        (0..=top)
+        let largest = (f64::from(self.m) * (self.ratio - 1.0)).floor() as u32;
+        (0..=largest)
             .fold((0, f64::INFINITY), |best, tau| {
                 let d = self.d(tau);
                 if d < best.1 - 1e-12 { (tau, d) } else { best }
@@ -96,20 +97,20 @@
             .0
     }
 
-    /// Of shortest expected delay, by (2.1).
+    /// The threshold of shortest expected delay (SED), by (2.1).
     pub fn tau_sed(&self) -> u32 {
         (f64::from(self.m) * (self.ratio - 1.0) + 1e-9).floor() as u32
     }
 
-    /// Of greedy throughput, by (3.4).
+    /// The threshold of greedy throughput (GT), by (3.4).
     pub fn tau_gt(&self) -> u32 {
         let load = f64::from(self.m) * self.rho;
         (((1.0 + self.ratio * load) / (1.0 + load)).ln() / (1.0 + self.rho).ln() + 1e-9).floor() as u32
     }
 
-    /// What one more job costs at each place of the queue up to the threshold, by (4.2): upwards from an empty
-    /// system where the load is above 1 and downwards from the threshold where it is below, since the other way
-    /// errors of rounding grow with each step.
+    /// The cost of one more job at each position of the queue up to the threshold, by (4.2): upwards from an empty
+    /// system if the load is at least 1, else downwards from the threshold; in the other direction, rounding errors
+    /// would grow with each step.
     fn costs(&self, tau: u32, g: f64) -> Vec<f64> {
         let (m, lambda) = (f64::from(self.m), f64::from(self.m) * self.rho);
         let mut costs = vec![0.0; tau as usize + 1];
@@ -120,7 +121,7 @@
                 cost = (f64::from(self.m + x - 1) + lambda * cost - g) / m;
             }
         } else {
-            let mut cost = 0.0; // of the job that makes x in the system
+            let mut cost = 0.0; // of the job that brings the system to x jobs
             for x in 0..self.m + tau {
                 cost = (g - f64::from(x) + f64::from(x.min(self.m)) * cost) / lambda;
                 if x >= self.m {
@@ -131,22 +132,22 @@
         costs
     }
 
-    /// The least delay that any policy reaches, by policy iteration (Howard): a policy's relative values follow
-    /// from (4.1) and (4.2) going down, and a job is let in where that costs no more than a slow server.
+    /// The threshold and the least delay of any policy, by policy iteration (Howard): a policy's relative values follow
+    /// from (4.1) and (4.2), and a job is admitted where that costs no more than a slow server.
     pub fn optimum(&self) -> (u32, f64) {
         let (m, lambda) = (f64::from(self.m), f64::from(self.m) * self.rho);
         let mut tau = 0u32;
         loop {
             let g = self.d(tau) * lambda;
-            let cheap = |cost: f64| cost <= self.ratio + 1e-12;
+            let admits = |cost: f64| cost <= self.ratio + 1e-12;
             // (4.1), beyond the threshold.
             let beyond = |x: u32| (f64::from(self.m + x) + lambda * self.ratio - g) / m;
             let within = self.costs(tau, g);
-            let mut next = (1..=tau).rev().find(|x| cheap(within[*x as usize])).unwrap_or(0);
-            while next >= tau && cheap(beyond(next + 1)) {
+            let mut next = (1..=tau).rev().find(|x| admits(within[*x as usize])).unwrap_or(0);
+            while next >= tau && admits(beyond(next + 1)) {
                 next += 1;
             }
-            // Each step improves; where it does not, by more than rounding, the two are as good as each other.
+            // Each step improves the delay; if it does not by more than rounding, the two thresholds are equally good.
             if next == tau || self.d(next) > self.d(tau) * (1.0 - 1e-13) {
                 return (tau, self.d(tau));
             }
@@ -155,19 +156,19 @@
     }
 }
 
-/// A system with one queue, a few speeds of finite number, and any number of slow servers: what the paper's
-/// simulations are about. Rates in jobs per unit of time, the fastest first.
+/// A system with one queue, a few classes with a finite number of servers, and any number of slow servers, as in the
+/// paper's simulations. Rates are in jobs per unit of time.
 #[derive(Clone, Debug, Serialize)]
 pub struct ManySpeed {
-    /// Rate and number of the finite classes, the fastest first.
+    /// Rate and number of servers of the finite classes, the fastest first.
     pub classes: Vec<(f64, u32)>,
-    /// Rate of the slow servers, of which there are enough.
+    /// Rate of a slow server; their number is unlimited.
     pub slow: f64,
-    /// Arrivals.
+    /// Arrival rate.
     pub lambda: f64,
 }
 
-/// How it is decided whether a job goes to the fastest open server.
+/// Heuristics that decide whether a job goes to the fastest free server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Heuristic {
@@ -177,13 +178,13 @@
     Nq,
     /// Greedy throughput.
     Gt,
-    /// The paper's D, with the threshold that the decision module uses.
+    /// The paper's D, with the threshold of the decision module.
     D,
 }
 
 impl ManySpeed {
-    /// The threshold of a heuristic for each class of open server, the slow ones last: a job in position x goes
-    /// there if x is more.
+    /// The threshold of a heuristic for each class of free server, the slow ones last: a job in queue position x goes
+    /// there if x is above the threshold.
     pub fn thresholds(&self, heuristic: Heuristic) -> Vec<u32> {
         let mut all = Vec::new();
         for open in 0..=self.classes.len() {
@@ -206,28 +207,29 @@
         all
     }
 
-    /// The mean delay under thresholds, or with `None` the least that any policy reaches (an exact value
-    /// iteration, relative, with the queue cut at `longest`). The second figure bounds its error.
+    /// The mean delay under thresholds, or with `None` the least of any policy, by exact relative value iteration with
+    /// the queue truncated at `longest`. The second figure bounds its error.
     pub fn delay(&self, thresholds: Option<&[u32]>, longest: usize) -> (f64, f64) {
         let mdp = Mdp::new(self, longest);
         mdp.solve(thresholds)
     }
 }
 
-/// States are the busy servers of each class and the queue's length.
+/// The Markov decision process: states are the number of busy servers of each class and the queue's length.
 struct Mdp<'a> {
     system: &'a ManySpeed,
     longest: usize,
-    /// By how much a state's number grows with one more busy server of a class.
+    /// How much a state's index grows with one more busy server of each class.
     stride: Vec<usize>,
     states: usize,
+    /// Total rate of the uniformized process.
     uniform: f64,
 }
 
-/// Iterations after which what was reached is told with its bound.
-const ITERATIONS: usize = 400_000;
-/// Relative width of the bound at which it is enough.
-const ENOUGH: f64 = 1e-5;
+/// Limit of iterations; the value reached by then is returned with its error bound.
+const MAX_ITERATIONS: usize = 400_000;
+/// Relative width of the bound at which the iteration stops.
+const TOLERANCE: f64 = 1e-5;
 
 impl<'a> Mdp<'a> {
     fn new(system: &'a ManySpeed, longest: usize) -> Self {
@@ -245,14 +247,14 @@
         (state / self.stride[class]) as u32 % (self.system.classes[class].1 + 1)
     }
 
-    /// The value after a state's decisions: `x` wait.
-    fn decided(&self, values: &[f64], mut state: usize, thresholds: Option<&[u32]>) -> f64 {
-        let mut paid = 0.0;
+    /// The value of a state after the decisions about its waiting jobs.
+    fn value_after_decisions(&self, values: &[f64], mut state: usize, thresholds: Option<&[u32]>) -> f64 {
+        let mut slow_cost = 0.0;
         let mut best = f64::INFINITY;
         loop {
             let x = state % (self.longest + 1);
             if x == 0 {
-                return best.min(paid + values[state]);
+                return best.min(slow_cost + values[state]);
             }
             let open = (0..self.stride.len()).find(|c| self.busy(state, *c) < self.system.classes[*c].1);
             let forced = open == Some(0) || x >= self.longest;
@@ -260,17 +262,17 @@
                 _ if forced => true,
                 Some(t) => x as u32 > t[open.unwrap_or(self.stride.len())],
                 None => {
-                    best = best.min(paid + values[state]);
+                    best = best.min(slow_cost + values[state]);
                     true
                 }
             };
             if !sends {
-                return best.min(paid + values[state]);
+                return best.min(slow_cost + values[state]);
             }
             match open {
                 Some(c) => state += self.stride[c] - 1,
                 None => {
-                    paid += 1.0 / self.system.slow;
+                    slow_cost += 1.0 / self.system.slow;
                     state -= 1;
                 }
             }
@@ -279,13 +281,13 @@
 
     fn solve(&self, thresholds: Option<&[u32]>) -> (f64, f64) {
         let (mut values, mut next) = (vec![0.0; self.states], vec![0.0; self.states]);
-        // States that no policy reaches (a queue beside an open fastest server) carry no weight and are skipped.
+        // Skips states that no policy reaches: a queue while a server of the fastest class is free.
         let fast = self.system.classes.first().map_or(0, |c| c.1);
         let reached: Vec<usize> = (0..self.states)
             .filter(|s| s % (self.longest + 1) == 0 || self.stride.is_empty() || self.busy(*s, 0) == fast)
             .collect();
         let lambda = self.system.lambda;
-        for n in 1..=ITERATIONS {
+        for n in 1..=MAX_ITERATIONS {
             let (mut least, mut most) = (f64::INFINITY, f64::NEG_INFINITY);
             for &s in &reached {
                 let x = s % (self.longest + 1);
@@ -293,15 +295,16 @@
                 let mut sum = x as f64;
                 sum += lambda
                     * if x < self.longest {
-                        self.decided(&values, s + 1, thresholds)
+                        self.value_after_decisions(&values, s + 1, thresholds)
                     } else {
-                        values[s] + 1.0 / self.system.slow // the cut: it goes to a slow server
+                        values[s] + 1.0 / self.system.slow // truncated queue: the job goes to a slow server
                     };
                 for (c, (mu, _)) in self.system.classes.iter().enumerate() {
                     let busy = f64::from(self.busy(s, c));
                     sum += busy;
                     if busy > 0.0 {
-                        sum += busy * mu * self.decided(&values, s - self.stride[c], thresholds);
+                        sum +=
+                            busy * mu * self.value_after_decisions(&values, s - self.stride[c], thresholds);
                         rest -= busy * mu;
                     }
                 }
@@ -311,8 +314,8 @@
             }
             let base = next[0];
             reached.iter().for_each(|&s| values[s] = next[s] - base);
-            let done = most - least <= ENOUGH * least.max(1e-12);
-            if done || n == ITERATIONS {
+            let done = most - least <= TOLERANCE * least.max(1e-12);
+            if done || n == MAX_ITERATIONS {
                 let delay = |g: f64| g * self.uniform / lambda;
                 return (delay((least + most) / 2.0), delay((most - least) / 2.0));
             }
@@ -326,7 +329,7 @@
     use super::*;
 
     #[test]
-    fn erlang_is_what_the_tables_say() {
+    fn erlang_formulas_match_the_tables() {
         assert!((erlang_b(1, 1.0) - 0.5).abs() < 1e-12);
         assert!((erlang_b(10, 5.0) - 0.018_385).abs() < 1e-6);
         assert!((mmm_delay(1, 0.8) - 5.0).abs() < 1e-9); // 1 / (1 - rho)
@@ -334,7 +337,7 @@
     }
 
     #[test]
-    fn the_papers_formulas_agree_with_the_chain_that_they_solve() {
+    fn the_formulas_agree_with_the_stationary_distribution() {
         for m in [1, 2, 5, 10] {
             for rho in [0.5, 0.8, 0.95, 1.2] {
                 for tau in [0, 1, 5, 20] {
@@ -349,14 +352,14 @@
     }
 
     #[test]
-    fn the_threshold_of_3_3_is_the_best_and_the_optimum() {
+    fn the_threshold_of_3_3_is_optimal() {
         for m in [1, 2, 5, 10, 20] {
             for rho in [0.3, 0.5, 0.8, 0.95, 1.0, 1.2, 2.0] {
                 for ratio in [1.5, 2.0, 4.0, 16.0, 64.0] {
                     let s = TwoSpeed { m, rho, ratio };
                     let tau = wharfhitch::threshold(f64::from(m), rho, ratio);
                     let (best, optimum) = (s.d(s.best_tau()), s.optimum().1);
-                    // Two thresholds may be as good as each other: delays are compared.
+                    // Compares delays, since two thresholds may be equally good.
                     assert!((s.d(tau) / best - 1.0).abs() < 1e-9, "{s:?}: {tau} for {}", s.best_tau());
                     assert!((optimum / best - 1.0).abs() < 1e-9, "{s:?}: {:?}", s.optimum());
                 }
