--- a/crates/sandgap-lab/src/agree/simulation.rs
+++ b/crates/sandgap-lab/src/agree/simulation.rs
@@ -357,8 +357,8 @@
         if self.setup.flaw == Some(Flaw::Unsynced) {
             // Reports the write as durable at once, and makes only about half of the writes.
             let number = write.number;
-            let told = Write { number, ..Write::default() };
-            self.events.push(now + 1, Event::Written { node: n, incarnation, write: told });
+            let acknowledged = Write { number, ..Write::default() };
+            self.events.push(now + 1, Event::Written { node: n, incarnation, write: acknowledged });
             let late = self.rng.random_range(0..50 * MS);
             if late < 25 * MS
                 && let Some(disk) = &mut self.nodes[n].host.disk
