--- a/crates/sandgap/tests/agreed_rules.rs
+++ b/crates/sandgap/tests/agreed_rules.rs
@@ -109,9 +109,9 @@
         let _proxies = [fleet.start(0), fleet.start(1), fleet.start(2)];
         fleet.publish(2);
     }
-    let asked = fleet.fleet_command(0, &["last-resort"]);
-    assert_eq!(asked.status.code(), Some(1), "{asked:?}");
-    assert!(output_text(&asked).contains("only v0 is left"));
+    let unconfirmed = fleet.fleet_command(0, &["last-resort"]);
+    assert_eq!(unconfirmed.status.code(), Some(1), "{unconfirmed:?}");
+    assert!(output_text(&unconfirmed).contains("only v0 is left"));
     let done = fleet.fleet_command(0, &["last-resort", "--i-know-that-the-others-never-come-back"]);
     assert!(done.status.success(), "{done:?}");
     let alone = fleet.start(0);
--- a/crates/sandgap/tests/client_disconnects_during_upload.rs
+++ b/crates/sandgap/tests/client_disconnects_during_upload.rs
@@ -31,14 +31,14 @@
 const OVER_BUFFER: usize = 300_000;
 
 fn request(id: &str, framing: Framing, size: usize) -> Vec<u8> {
-    let (told, body) = match framing {
+    let (header, body) = match framing {
         Framing::Counted => (format!("Content-Length: {size}"), "x".repeat(size)),
         Framing::Chunked => (
             "Transfer-Encoding: chunked".to_owned(),
             format!("{size:x}\r\n{}\r\n0\r\n\r\n", "x".repeat(size)),
         ),
     };
-    let head = submit(id, "25", "").replace("Content-Length: 0", &told);
+    let head = submit(id, "25", "").replace("Content-Length: 0", &header);
     (head + &body).into_bytes()
 }
 
@@ -118,9 +118,9 @@
         client.send(&request(&format!("r-gone-{n}"), FRAMINGS[n % 2], OVER_BUFFER));
     }
     assert!(full.proxy.is_up());
-    let left: Vec<TcpStream> =
+    let half_closed: Vec<TcpStream> =
         clients.into_iter().enumerate().filter_map(|(n, c)| c.disconnect(DISCONNECTS[n / 2 % 2])).collect();
-    assert!(left.into_iter().all(is_dropped));
+    assert!(half_closed.into_iter().all(is_dropped));
     wait_for("their ends", || full.proxy.descriptors() <= before);
     let seen = full.finish();
     assert!(!seen.iter().any(|id| id.contains("gone")), "{seen:?}");
@@ -155,15 +155,15 @@
         // A backend that begins to read and then waits until the client has disconnected.
         let (begun, go) = (Gate::default(), Gate::default());
         let (begins, goes) = (begun.clone(), go.clone());
-        let (told, read) = std::sync::mpsc::channel();
-        let told = std::sync::Mutex::new(told);
+        let (sender, read) = std::sync::mpsc::channel();
+        let sender = std::sync::Mutex::new(sender);
         let address = serve(move |_, mut stream| {
             let mut bytes = vec![0; 1000];
             stream.read_exact(&mut bytes).expect("its beginning");
             begins.open();
             goes.wait();
             let _ = stream.read_to_end(&mut bytes); // an end or a reset
-            let _ = told.lock().expect("no panic").send(bytes);
+            let _ = sender.lock().expect("no panic").send(bytes);
         });
         let discovery = Discovery::new();
         discovery.publish(&list(1, true, &[host("s-0", address, "up", 0)]));
--- a/crates/sandgap/tests/discovery_on_request.rs
+++ b/crates/sandgap/tests/discovery_on_request.rs
@@ -85,8 +85,8 @@
 
 #[test]
 fn after_a_move_a_watch_that_falls_silent_is_reopened() {
-    // The first watch after a move is opened by the driver itself. Its end was once reported to no one, and no other watch
-    // followed it.
+    // The first watch after a move is opened without a request of the decision library. Its end was once reported to no
+    // one, and no other watch followed it.
     let site = TestSite::new();
     let proxy = site.up();
     let moved = Discovery::new();
--- a/crates/sandgap/tests/permits.rs
+++ b/crates/sandgap/tests/permits.rs
@@ -28,9 +28,9 @@
 }
 
 fn outs(fleet: &Fleet) -> Value {
-    let told = fleet.fleet_command(0, &["outs", "--json"]);
-    assert!(told.status.success(), "{told:?}");
-    serde_json::from_slice(&told.stdout).expect("JSON")
+    let output = fleet.fleet_command(0, &["outs", "--json"]);
+    assert!(output.status.success(), "{output:?}");
+    serde_json::from_slice(&output.stdout).expect("JSON")
 }
 
 fn phase(fleet: &Fleet, target: &str) -> Option<String> {
--- a/crates/sandgap/tests/pipelined.rs
+++ b/crates/sandgap/tests/pipelined.rs
@@ -51,8 +51,11 @@
         assert_eq!(answers, [200, 200]);
         let seen = backend.requests();
         let second = seen.iter().find(|m| m.id() == "r-second").expect("it was sent on");
-        let told: f64 = second.header("x-timeout").and_then(|t| t.parse().ok()).expect("a number");
-        assert!(told <= 4.0 - waited + SLACK, "at once {at_once}: {told} s told, {waited:.3} s waited");
+        let remaining: f64 = second.header("x-timeout").and_then(|t| t.parse().ok()).expect("a number");
+        assert!(
+            remaining <= 4.0 - waited + SLACK,
+            "at once {at_once}: {remaining} s sent, {waited:.3} s waited"
+        );
     }
 }
 
--- a/crates/sandgap/tests/proxy.rs
+++ b/crates/sandgap/tests/proxy.rs
@@ -59,8 +59,8 @@
 fn serves_from_the_known_list_without_discovery() {
     let backend = Backend::new(Action::Write(ok("")));
     let mut discovery = Discovery::new();
-    let (nobody, _held) = dead_address();
-    discovery.address = nobody;
+    let (unused, _held) = dead_address();
+    discovery.address = unused;
     let proxy = Proxy::up(&discovery, &Setup { known: list_all_up(&[&backend]), ..Setup::default() });
     assert_eq!(status(Client::new(&proxy).request(&page("r-1"))), 200);
 }
@@ -77,8 +77,9 @@
         || discovery.requests.lock().unwrap().iter().any(|m| m.start_line.contains("watch=1&after=1 "));
     wait_for("a watch that resumes", resumed);
     // An invalid entry does not affect the other entries.
-    let odd = [r#"{"host":3}"#, "null", r#"{"host":"s-odd","dial":"nowhere","health":"up","born_ms":"x"}"#];
-    let mut lines: Vec<String> = odd.iter().map(|o| o.to_string()).collect();
+    let invalid =
+        [r#"{"host":3}"#, "null", r#"{"host":"s-odd","dial":"nowhere","health":"up","born_ms":"x"}"#];
+    let mut lines: Vec<String> = invalid.iter().map(|o| o.to_string()).collect();
     lines.push(host("s-new", new.address, "up", 0));
     discovery.publish(&list(5, true, &lines));
     let text = |id: &str| Client::new(&proxy).request(&page(id)).expect("an answer").text();
@@ -279,8 +280,8 @@
     first.send(&submit("r-first", "40", "x"));
     assert!(proxy.is_up()); // by now the first request has most likely been read and its connection begun
     let other = Backend::new(Action::Write(ok("other")));
-    let gone = host("s-0", slow.local_addr().unwrap(), "draining", 0);
-    discovery.publish(&list(2, false, &[gone, host("s-1", other.address, "up", 0)]));
+    let draining = host("s-0", slow.local_addr().unwrap(), "draining", 0);
+    discovery.publish(&list(2, false, &[draining, host("s-1", other.address, "up", 0)]));
     // No other backend can serve these before the drain has arrived.
     let mut n = 0;
     wait_for("the drain", || {
@@ -320,13 +321,13 @@
 }
 
 #[test]
-fn an_idle_backend_connection_is_closed_after_its_idle_time() {
+fn an_idle_connection_is_closed_before_the_backend_closes_it() {
     let backend = Backend::new(Action::Write(ok("")));
     let discovery = Discovery::new();
     discovery.publish(&list_all_up(&[&backend]));
     let proxy = Proxy::up(&discovery, &Setup { idle_close: 1000, ..Setup::default() });
     assert_eq!(status(Client::new(&proxy).request(&page("r-1"))), 200);
-    wait_for("its end", || backend.connections_closed() == 1);
+    wait_for("its close", || backend.connections_closed() == 1);
 }
 
 #[test]
@@ -714,7 +715,7 @@
         if read_message(&mut reader).is_none() {
             return;
         }
-        let _ = stream.write_all(format!("{head}\r\n\r\nhalf").as_bytes()); // the proxy may have gone
+        let _ = stream.write_all(format!("{head}\r\n\r\nhalf").as_bytes()); // the proxy may have closed it
         std::thread::sleep(Duration::from_millis(20));
         if reset {
             let linger = Some(Duration::ZERO);
--- a/crates/sandgap/tests/releases.rs
+++ b/crates/sandgap/tests/releases.rs
@@ -71,16 +71,16 @@
     }
 
     fn stage(&self) -> String {
-        let told = self.release(&["status", "--json"]);
-        json(&told)["stage"].as_str().unwrap_or_default().to_owned()
+        let output = self.release(&["status", "--json"]);
+        json(&output)["stage"].as_str().unwrap_or_default().to_owned()
     }
 
     /// Applies `change` to each backend that is out for the release, once; returns their names and the versions they run
     /// then.
     fn work(&self, change: impl Fn(usize, &str)) -> Vec<(String, String)> {
-        let told = self.release(&["work", "spring"]);
+        let output = self.release(&["work", "spring"]);
         let mut done = Vec::new();
-        for line in String::from_utf8_lossy(&told.stdout).lines() {
+        for line in String::from_utf8_lossy(&output.stdout).lines() {
             let words: Vec<&str> = line.split(' ').collect();
             let [target, permit, label] = words[..] else { panic!("{line}") };
             change(target[1..].parse().expect("a number"), label);
@@ -109,12 +109,12 @@
 ) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         let mut client = Client::connect(proxy);
-        for asked in 0.. {
+        for number in 0.. {
             if stop.load(Ordering::SeqCst) {
                 return;
             }
             let text = format!(
-                "GET /page/x HTTP/1.1\r\nHost: x\r\nX-Request-ID: c{n}-{asked}\r\nX-Timeout: 5\r\nContent-Length: 0\r\n\r\n"
+                "GET /page/x HTTP/1.1\r\nHost: x\r\nX-Request-ID: c{n}-{number}\r\nX-Timeout: 5\r\nContent-Length: 0\r\n\r\n"
             );
             match client.request(&text) {
                 Some(answer) if answer.status() == 200 => {}
--- a/crates/sandgap/tests/sockets/mod.rs
+++ b/crates/sandgap/tests/sockets/mod.rs
@@ -487,7 +487,7 @@
     pub known: String,
     /// Limit of open sockets.
     pub sockets: usize,
-    /// Idle time in ms after which connections to backends close.
+    /// Idle time in ms after which backends may close a connection; the proxy closes it earlier.
     pub idle_close: u32,
     /// Time in ms for connecting to a backend.
     pub dial_timeout: u32,
--- a/crates/sandgap/tests/stalled_answers.rs
+++ b/crates/sandgap/tests/stalled_answers.rs
@@ -193,8 +193,8 @@
         std::thread::scope(|scope| {
             let send_request =
                 |(version, request): (&'static str, String)| (version, send_request(&proxy, &request, late));
-            for asked in requests("r-1").map(|request| scope.spawn(move || send_request(request))) {
-                let (version, ended) = asked.join().expect("no panic");
+            for running in requests("r-1").map(|request| scope.spawn(move || send_request(request))) {
+                let (version, ended) = running.join().expect("no panic");
                 assert!(ended.is_complete() && ended.body() == size, "{form:?} {size} {version}");
             }
         });
@@ -234,10 +234,10 @@
     let (_discovery, mut proxy) = up(address, Duration::from_secs(25));
     let text = submit("r-1", "25", "x");
     std::thread::scope(|scope| {
-        let asked = scope.spawn(|| send_request(&proxy, &text, Duration::ZERO));
+        let running = scope.spawn(|| send_request(&proxy, &text, Duration::ZERO));
         wait_for("its beginning", || *began.lock().expect("no panic") == 1);
         proxy.terminate();
-        let ended = asked.join().expect("no panic");
+        let ended = running.join().expect("no panic");
         assert!(!ended.is_complete());
         assert!(ended.took < Duration::from_secs(18), "{:?}", ended.took);
     });
--- a/crates/sandgap/tests/suspended_process.rs
+++ b/crates/sandgap/tests/suspended_process.rs
@@ -153,16 +153,16 @@
 
 /// The remaining time (X-Timeout, in seconds) that a backend received with a request.
 fn remaining_seconds(backend: &Backend, id: &str) -> f64 {
-    let mut told = None;
+    let mut remaining = None;
     wait_for("the request at its backend", || {
-        told = backend
+        remaining = backend
             .requests()
             .iter()
             .find(|m| m.id() == id)
             .and_then(|m| m.header("x-timeout")?.parse().ok());
-        told.is_some()
+        remaining.is_some()
     });
-    told.expect("just seen")
+    remaining.expect("just seen")
 }
 
 /// Requests that arrived while a process was stopped, and by how many seconds the remaining time sent to the backend was
@@ -224,10 +224,10 @@
     wait_for("the requests", || backend.requests().len() == PROXIES);
     proxies.iter().for_each(|p| p.signal("-STOP"));
     proxies.iter().for_each(Proxy::terminate);
-    let told = Instant::now();
+    let terminated = Instant::now();
     thread::sleep(STOPPED_FOR);
     proxies.iter().for_each(|p| p.signal("-CONT"));
-    let answered = clients.iter_mut().filter_map(|c| c.answer().map(|_| told.elapsed()));
+    let answered = clients.iter_mut().filter_map(|c| c.answer().map(|_| terminated.elapsed()));
     let times: Vec<Duration> = answered.collect();
     gate.open();
     println!("{times:?}");
--- a/crates/sandgap/tests/upgrade.rs
+++ b/crates/sandgap/tests/upgrade.rs
@@ -73,10 +73,10 @@
         .map(|number| {
             let stop = stop.clone();
             thread::spawn(move || {
-                let (mut asked, mut served) = (0, Vec::new());
+                let (mut sent, mut served) = (0, Vec::new());
                 let mut kept: Option<Client> = None;
                 while !stop.load(Ordering::SeqCst) {
-                    let id = format!("c{number}-{asked}");
+                    let id = format!("c{number}-{sent}");
                     let mut client = kept.take().unwrap_or_else(|| Client::connect(address));
                     let mut answer = client.request(&submit(&id, "5", "x"));
                     if answer.is_none() {
@@ -90,8 +90,8 @@
                     if answer.status() == 200 {
                         served.push(id);
                     }
-                    asked += 1;
-                    kept = (answer.header("connection") != Some("close") && asked % 3 > 0).then_some(client);
+                    sent += 1;
+                    kept = (answer.header("connection") != Some("close") && sent % 3 > 0).then_some(client);
                 }
                 served
             })
@@ -199,11 +199,11 @@
     let mut new = Proxy::start(&silent, &setup(&directory, Some(old.address)));
     wait_for("the newer one", || old.log_contains("a newer process has come"));
     new.terminate();
-    let mut asked = 0;
+    let mut sent = 0;
     while new.is_running() {
-        asked += 1;
-        let answer = Client::new(&old).request(&page(&format!("u-{asked}"))).expect("an answer");
-        assert_eq!(answer.status(), 200, "request {asked}");
+        sent += 1;
+        let answer = Client::new(&old).request(&page(&format!("u-{sent}"))).expect("an answer");
+        assert_eq!(answer.status(), 200, "request {sent}");
     }
-    assert!(asked > 0 && new.wait().success());
+    assert!(sent > 0 && new.wait().success());
 }
--- a/crates/sandgap/tests/upload_deadlines.rs
+++ b/crates/sandgap/tests/upload_deadlines.rs
@@ -16,14 +16,14 @@
 const WAIT: Duration = Duration::from_millis(700);
 
 fn upload(id: &str, timeout: &str, size: usize, chunked: bool) -> Vec<u8> {
-    let (told, body) = match chunked {
+    let (header, body) = match chunked {
         false => (format!("Content-Length: {size}"), "x".repeat(size)),
         true => {
             let parts = (0..size / 1000).map(|_| format!("3e8\r\n{}\r\n", "x".repeat(1000)));
             ("Transfer-Encoding: chunked".to_owned(), parts.collect::<String>() + "0\r\n\r\n")
         }
     };
-    (submit(id, timeout, "").replace("Content-Length: 0", &told) + &body).into_bytes()
+    (submit(id, timeout, "").replace("Content-Length: 0", &header) + &body).into_bytes()
 }
 
 fn send(proxy: SocketAddr, request: &[u8]) -> TcpStream {
@@ -43,14 +43,17 @@
         // The client's last byte went out after `sent`, and `written` later at the latest.
         let waited = sent.elapsed().saturating_sub(written).as_secs_f64();
         full.gate.open();
-        let told = || {
+        let remaining = || {
             let seen = full.backend.requests();
             let request = seen.iter().find(|m| m.id() == "r-waits")?;
             request.header("x-timeout").map(|t| t.parse::<f64>().expect("a number"))
         };
-        wait_for("the long request", || told().is_some());
-        let told = told().expect("just seen");
-        assert!(told <= 20.0 - waited + SLACK, "{size} {chunked}: {told} s told, {waited:.3} s waited");
+        wait_for("the long request", || remaining().is_some());
+        let remaining = remaining().expect("just seen");
+        assert!(
+            remaining <= 20.0 - waited + SLACK,
+            "{size} {chunked}: {remaining} s sent, {waited:.3} s waited"
+        );
     }
 }
 
