--- a/crates/sandgap/tests/fleet.rs
+++ b/crates/sandgap/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of sandgap processes that agree on their rules, with network faults between them. For longer runs with more
+//! Fleets of sandgap processes that agree on their rules, with faults injected between them. For longer runs with more
 //! seeds: `sandgap-rig fleet --seed 1 --seeds 200`.
 
 mod fleet_plan;
--- a/crates/sandgap/tests/permits_under_faults.rs
+++ b/crates/sandgap/tests/permits_under_faults.rs
@@ -1,4 +1,4 @@
-//! Fleets of sandgap processes whose backends are taken out and brought back throughout, with network faults between the
+//! Fleets of sandgap processes whose backends are taken out and brought back throughout, with faults injected between the
 //! processes. For longer runs with more seeds: `sandgap-rig fleet --backends 6 --holders 4 --seed 1 --seeds 200`.
 
 mod fleet_plan;
--- a/crates/sandgap/tests/releases.rs
+++ b/crates/sandgap/tests/releases.rs
@@ -22,7 +22,7 @@
     _proxies: Vec<Proxy>,
     stop: Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<()>>,
-    /// Answers other than 200.
+    /// Answers other than 200, and requests without an answer.
     failed: Arc<AtomicUsize>,
 }
 
--- a/crates/sandgap/tests/sockets/mod.rs
+++ b/crates/sandgap/tests/sockets/mod.rs
@@ -27,8 +27,11 @@
 /// An HTTP request or response read from a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
+    /// The request line or status line.
     pub start_line: String,
+    /// Names and values in the order received.
     pub headers: Vec<(String, String)>,
+    /// The body, as long as its Content-Length.
     pub body: Vec<u8>,
 }
 
@@ -124,6 +127,7 @@
 
 /// A backend that records each request and handles it by a given action.
 pub struct Backend {
+    /// Where it listens.
     pub address: SocketAddr,
     requests: Requests,
     /// Connections accepted.
@@ -203,6 +207,7 @@
 
 /// A discovery service for one proxy: each watch receives the lines published so far and those that follow.
 pub struct Discovery {
+    /// Where it listens.
     pub address: SocketAddr,
     lines: Arc<Mutex<Vec<String>>>,
     /// All requests received.
@@ -565,6 +570,7 @@
 /// A running proxy process, killed on drop.
 pub struct Proxy {
     child: Child,
+    /// Where it listens for clients.
     pub address: SocketAddr,
     /// The admin address.
     pub admin: Option<SocketAddr>,
