--- a/crates/sandgap-driver/src/core.rs
+++ b/crates/sandgap-driver/src/core.rs
@@ -1,4 +1,5 @@
-//! The core owns the decision module, passes events to it and performs the resulting actions in order.
+//! The core owns the policy, passes events to it and performs the actions that it returns, in order. The policy is the
+//! decision library's [`Balancer`], or in the simulator another one for comparison.
 
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -23,13 +24,13 @@
 
 /// An unanswered request is answered this long before its client's deadline, so that the answer arrives in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(4);
-/// Stands for "no deadline" on a long request whose client has not sent its last byte yet. The transport detects a client
-/// or backend that stalls in the middle of the body.
+/// Stands for "no deadline" on a long request that is forwarded while its client is still sending it. The transport
+/// detects a client or backend that stalls in the middle of the body.
 const NO_DEADLINE: Duration = Duration::from_secs(1 << 32);
 /// Maximum number of distinct zone names, and of kind names, so that discovery can't grow the tables without bound.
 const MAX_NAMES: usize = 250;
 
-/// Decides on the backend, retries and refusals: the decision module, or in the simulator another policy for comparison.
+/// Chooses the backend of each attempt and decides on retries and refusals.
 pub trait Policy {
     /// Handles an event and appends the resulting actions in order; see [`Balancer::handle`].
     fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>);
@@ -41,21 +42,25 @@
     }
 }
 
-/// Performs the core's effects. Calls come in the order in which they are to take effect; none may call back into the
-/// core.
+/// What the core does to its environment: each method is one side effect or a question about the environment. Not to be
+/// confused with [`Effect`], which says whether a request may be executed more than once.
+///
+/// The core calls the methods in the order in which they are to take effect. None may call back into the core.
 pub trait Effects {
-    /// Caller's data for a request, kept until it is answered and its last attempt has ended.
+    /// Data that the implementer keeps with a request until it is answered and its last attempt has ended.
     type Held;
     /// A backend's complete answer.
     type Reply;
 
-    /// Starts an attempt. The caller must report its end exactly once with [`Core::ended`].
+    /// Starts an attempt. The implementer of this trait has to see to it that [`Core::ended`] is called exactly once for
+    /// it, after this method has returned.
     fn attempt(&mut self, held: &Self::Held, attempt: Attempt);
     /// Gives a request its only answer.
     fn answer(
         &mut self, held: &mut Self::Held, request: RequestId, answer: Answer<Self::Reply>, cause: Cause,
     );
-    /// Whether an attempt may start now; called for each attempt. If not, the request is answered at once without it.
+    /// Whether the lease under which the request was accepted still holds, or it needs none; called before each attempt.
+    /// If it does not hold, the attempt is denied and the request is answered at once.
     fn may_send(&self, _held: &Self::Held) -> bool {
         true
     }
@@ -63,7 +68,8 @@
     fn is_body_consumed(&self, _held: &Self::Held) -> bool {
         false
     }
-    /// An endpoint gets no new attempts; resources kept for it can be released.
+    /// An endpoint gets no new attempts because it is draining, gone or replaced; resources kept for it can be released.
+    /// A draining endpoint may be opened again later, and one that is already closed may be reported again.
     fn retire(&mut self, endpoint: &Endpoint);
     /// Sends bytes to every other proxy.
     fn broadcast(&mut self, bytes: Vec<u8>);
@@ -71,14 +77,15 @@
     fn subscribe(&mut self);
     /// Fetches the list of backends once.
     fn fetch_list(&mut self);
-    /// A list of this scope has been applied; `has_backends` is true if it names any.
+    /// A list of this scope has been applied; `has_backends` is true if it has any entries, including those that only
+    /// say that a backend is draining or removed.
     fn listed(&mut self, scope: Scope, has_backends: bool);
-    /// The module requested an action that is not allowed; it was not performed.
+    /// The policy requested an action that is not allowed; it was not performed.
     fn violation(&mut self, violation: Violation, request: RequestId);
     /// An answer is given more than [`MAX_ANSWER_DELAY`] after its client's deadline: there was a standstill of the process
     /// or its machine, or the answer was delayed elsewhere.
     fn late_answer(&mut self, _request: RequestId) {}
-    /// An attempt that the module requested was not started.
+    /// An attempt that the policy requested was not started.
     fn denied(&mut self, _request: RequestId, _attempt: u32, _denial: Denial) {}
 }
 
@@ -98,9 +105,9 @@
 pub enum Cause {
     /// A backend answered.
     Backend,
-    /// The module decided so.
+    /// The policy decided so.
     Policy,
-    /// The client's deadline, or the end of the process, was reached.
+    /// The client's deadline, or the deadline of the shutdown, was near.
     Deadline,
     /// No further attempt is allowed.
     Denied,
@@ -134,10 +141,10 @@
     pub hint: Option<Millis>,
     /// When the client stops waiting.
     pub deadline: Time,
-    /// Only for a long request, which is forwarded while it is still being received: how long the client waits after its
-    /// last byte, see [`Core::received`].
+    /// Only for a long request, which is forwarded while it is still being received: how long the client waits after
+    /// having sent its last byte. A length of time, not a point in time; see [`Core::received`].
     pub upload: Option<Time>,
-    /// Caller's data kept with the request.
+    /// Data kept with the request, see [`Effects::Held`].
     pub held: H,
 }
 
@@ -151,12 +158,14 @@
     pub endpoint: Rc<Endpoint>,
     /// Cleared when the request is answered; nothing may be written afterwards.
     pub wanted: Rc<Cell<bool>>,
-    /// Timeout of the attempt, as a point in time.
+    /// When the attempt times out.
     pub until: Time,
-    /// When a short answer has to be sent completely. It changes when a long request has been forwarded completely and
-    /// when the process shuts down.
+    /// When a short answer has to be sent completely. It is shared by all attempts of the request and follows its
+    /// deadline, which changes when a shutdown starts, and for a long request when forwarding starts, when the last byte
+    /// is received from the client meanwhile, and when forwarding ends.
     pub answer_by: Rc<Cell<Time>>,
-    /// If it may be a duplicate, nothing of it may be written from this time on.
+    /// Only for an attempt that may be a duplicate of an earlier one: nothing of it may be written from this time on,
+    /// because backends no longer drop duplicates then.
     pub write_before: Option<Time>,
 }
 
@@ -169,7 +178,7 @@
     held: H,
     effect: Effect,
     deadline: Time,
-    /// The deadline minus [`ANSWER_MARGIN`], shared with attempts in flight.
+    /// See [`Attempt::answer_by`]: the deadline minus [`ANSWER_MARGIN`], shared with attempts in flight.
     answer_by: Rc<Cell<Time>>,
     /// See [`Arrival::upload`].
     upload: Option<Time>,
@@ -185,13 +194,14 @@
 /// What a timer does when it fires.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKind {
-    Module(u64),
+    Policy(u64),
     Deadline(RequestId),
     Reopening(BackendId),
 }
 
 impl<H> PendingRequest<H> {
-    /// Sets the client's deadline and returns when the request is answered for lack of another answer.
+    /// Sets the client's deadline. Returns [`ANSWER_MARGIN`] before it, when [`Core::on_deadline`] answers the request if
+    /// it is still unanswered.
     fn set_deadline(&mut self, deadline: Time) -> Time {
         let last = deadline.saturating_sub(ANSWER_MARGIN);
         self.deadline = deadline;
@@ -200,9 +210,10 @@
     }
 }
 
-/// Drives a module with incoming events. The size of its maps is bounded by the number of requests that the caller admits.
-pub struct Core<D, O: Effects> {
-    policy: D,
+/// Drives a policy with incoming events. The size of its maps is bounded by the number of requests that the caller admits
+/// and the number of listed backends.
+pub struct Core<P, O: Effects> {
+    policy: P,
     /// Performs the effects.
     pub effects: O,
     names: Names,
@@ -216,19 +227,19 @@
     actions: Vec<Action>,
     /// The time of the event that is being handled.
     now: Time,
-    /// Attempts that were not started, to be reported to the module after the current actions.
+    /// Attempts that were not started, to be reported to the policy after the current actions.
     not_started: VecDeque<(RequestId, u32)>,
-    /// Uploads that have started, to be reported to the module after the current actions.
+    /// Uploads that have started, to be reported to the policy after the current actions.
     started_uploads: Vec<RequestId>,
     /// Requests that may not be sent any more, to be answered after the current actions.
     unsendable: Vec<RequestId>,
     /// Deadline for all answers, once shutdown has been requested.
-    end: Option<Time>,
+    shutdown_deadline: Option<Time>,
 }
 
-impl<D: Policy, O: Effects> Core<D, O> {
+impl<P: Policy, O: Effects> Core<P, O> {
     /// Creates an empty core; `unix_zero` is the Unix time in ms at which [`Time`] is zero.
-    pub fn new(policy: D, effects: O, names: Names, unix_zero: Millis) -> Self {
+    pub fn new(policy: P, effects: O, names: Names, unix_zero: Millis) -> Self {
         Core {
             policy,
             effects,
@@ -244,7 +255,7 @@
             not_started: VecDeque::new(),
             started_uploads: Vec::new(),
             unsendable: Vec::new(),
-            end: None,
+            shutdown_deadline: None,
         }
     }
 
@@ -253,13 +264,13 @@
         self.pending.len()
     }
 
-    /// The caller's data of a request that is still held.
+    /// The data kept with a request, see [`Effects::Held`]; `None` once it is answered and has no attempts in flight.
     pub fn context(&self, request: RequestId) -> Option<&O::Held> {
         self.pending.get(&request).map(|pending| &pending.held)
     }
 
-    /// The decision module.
-    pub fn policy(&self) -> &D {
+    /// The policy.
+    pub fn policy(&self) -> &P {
         &self.policy
     }
 
@@ -273,7 +284,7 @@
         self.endpoints.get(&backend).map_or(0, |e| e.in_flight())
     }
 
-    /// Ended attempts at a backend, served or failed, and how many of them failed.
+    /// Number of attempts at a backend that were served or failed, and how many of them failed.
     pub fn ended_at(&self, backend: BackendId) -> (u64, u64) {
         self.endpoints.get(&backend).map_or((0, 0), |e| e.ended())
     }
@@ -289,8 +300,8 @@
         self.endpoints.values().map(|e| e.in_flight()).sum()
     }
 
-    /// When the next timer fires. Deadline timers of answered requests are dropped here: nearly all requests are
-    /// answered by then, and each timer would wake the process for nothing.
+    /// When the next timer fires. Deadline timers of answered requests are dropped here: nearly all requests are answered
+    /// before their timer is due, and each would wake the process for nothing.
     pub fn next_due(&mut self) -> Option<Time> {
         loop {
             let Reverse((at, due)) = self.timers.peek()?;
@@ -308,7 +319,7 @@
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             let Some(Reverse((_, due))) = self.timers.pop() else { break };
             match due {
-                TimerKind::Module(token) => self.handle(now, Event::Timer(token)),
+                TimerKind::Policy(token) => self.handle(now, Event::Timer(token)),
                 TimerKind::Deadline(id) => self.on_deadline(now, id),
                 TimerKind::Reopening(id) => self.reopen(now, id),
             }
@@ -318,7 +329,7 @@
     /// A request has arrived: complete, or a long one that is still being received ([`Arrival::upload`]).
     pub fn request(&mut self, now: Time, arrival: Arrival<O::Held>) {
         let Arrival { id, class, effect, tenant, key, hint, deadline, upload, held } = arrival;
-        let deadline = self.within_end(deadline);
+        let deadline = self.limit_to_shutdown(deadline);
         let last = deadline.saturating_sub(ANSWER_MARGIN);
         let budget = to_ms(last.saturating_sub(now));
         let wanted = Rc::new(Cell::new(true));
@@ -342,23 +353,25 @@
         self.handle(now, Event::Request { id, class, tenant, key, budget, hint });
     }
 
-    /// Starts a graceful shutdown: every accepted request is answered by `end`, even if its client would wait longer.
-    pub fn end_by(&mut self, end: Time) {
-        let end = self.within_end(end);
-        self.end = Some(end);
-        let last = end.saturating_sub(ANSWER_MARGIN);
-        // Requests whose answer has started still have an attempt in flight; a short answer has to end in time, too.
-        for (id, pending) in self.pending.iter_mut().filter(|(_, p)| p.deadline > end) {
-            pending.set_deadline(pending.deadline.min(end));
+    /// Starts a graceful shutdown: every accepted request is answered by `shutdown_deadline`, even if its client would wait
+    /// longer.
+    pub fn end_by(&mut self, shutdown_deadline: Time) {
+        let shutdown_deadline = self.limit_to_shutdown(shutdown_deadline);
+        self.shutdown_deadline = Some(shutdown_deadline);
+        let last = shutdown_deadline.saturating_sub(ANSWER_MARGIN);
+        // Answered requests are included: their answer may still be on its way to the client, and `answer_by` makes a short
+        // one end in time.
+        for (id, pending) in self.pending.iter_mut().filter(|(_, p)| p.deadline > shutdown_deadline) {
+            pending.set_deadline(pending.deadline.min(shutdown_deadline));
             if pending.open {
                 self.timers.push(Reverse((last, TimerKind::Deadline(*id))));
             }
         }
     }
 
-    /// A deadline, limited to the end of the process.
-    fn within_end(&self, deadline: Time) -> Time {
-        self.end.map_or(deadline, |end| deadline.min(end))
+    /// The earlier of a deadline and the shutdown's, if a shutdown has started.
+    fn limit_to_shutdown(&self, deadline: Time) -> Time {
+        self.shutdown_deadline.map_or(deadline, |shutdown_deadline| deadline.min(shutdown_deadline))
     }
 
     /// A request's client has left.
@@ -368,8 +381,9 @@
         }
     }
 
-    /// The last byte of a long request was received from its client at `at`. The client's time counts from then, whether
-    /// the request is queued or being forwarded.
+    /// The last byte of a long request was received from its client at `at`. The client waits [`Arrival::upload`] from then
+    /// on. If the request is being forwarded, its deadline is set accordingly at once; if it is still queued, its first
+    /// deadline applies until forwarding starts.
     pub fn received(&mut self, id: RequestId, at: Time) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         pending.received = Some(at);
@@ -378,11 +392,11 @@
         }
     }
 
-    /// Sets a long request's deadline from the time of its last byte, or from `now` if that has not come. Returns when the
-    /// request is answered for lack of another answer.
+    /// Sets a long request's deadline to [`Arrival::upload`] after its last byte was received, or after `now` if it has not
+    /// been. Sets a timer for it too, and returns when that fires; `None` if this is no long request or it is not held.
     fn renew_deadline(&mut self, now: Time, id: RequestId) -> Option<Time> {
         let pending = self.pending.get(&id)?;
-        let deadline = self.within_end(pending.received.unwrap_or(now) + pending.upload?);
+        let deadline = self.limit_to_shutdown(pending.received.unwrap_or(now) + pending.upload?);
         let last = self.pending.get_mut(&id)?.set_deadline(deadline);
         self.timers.push(Reverse((last, TimerKind::Deadline(id))));
         Some(last)
@@ -395,13 +409,14 @@
         }
     }
 
-    /// Forwarding of a long request has ended; `spent` if the request can't be sent again.
-    fn end_upload(&mut self, now: Time, id: RequestId, spent: bool) {
+    /// Forwarding of a long request has ended. `is_consumed`: it can't be sent again, see [`Effects::is_body_consumed`], and
+    /// the policy is told so by a budget of 0.
+    fn end_upload(&mut self, now: Time, id: RequestId, is_consumed: bool) {
         let Some(last) = self.renew_deadline(now, id) else { return };
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.uploading = false;
         }
-        let budget = if spent { 0.0 } else { to_ms(last.saturating_sub(now)) };
+        let budget = if is_consumed { 0.0 } else { to_ms(last.saturating_sub(now)) };
         self.handle(now, Event::Uploaded { request: id, budget });
     }
 
@@ -415,16 +430,17 @@
         }
     }
 
-    /// An attempt started by [`Effects::attempt`] has ended; called exactly once for each.
+    /// An attempt has ended; called exactly once for each that [`Effects::attempt`] has started. The core itself calls it
+    /// for attempts that were denied, with [`Outcome::NotSent`].
     pub fn ended(
         &mut self, now: Time, request: RequestId, attempt: u32, latency: Millis, outcome: Outcome,
         reply: Option<O::Reply>,
     ) {
         let Some(pending) = self.pending.get(&request) else { return };
         if pending.open && pending.upload.is_some() {
-            let spent = outcome != Outcome::Served && self.effects.is_body_consumed(&pending.held);
-            if pending.uploading || spent {
-                self.end_upload(now, request, spent);
+            let is_consumed = outcome != Outcome::Served && self.effects.is_body_consumed(&pending.held);
+            if pending.uploading || is_consumed {
+                self.end_upload(now, request, is_consumed);
             }
         }
         let Some(pending) = self.pending.get_mut(&request) else { return };
@@ -466,10 +482,11 @@
         self.apply_list(now, scope, hosts);
     }
 
-    /// A list, or changes to it, that may be older than what is known. Backends that it closes are closed at once; recently
-    /// closed backends are reopened only when no discovery service can lag behind any more, see [`crate::REOPEN_AFTER`].
+    /// A list, or changes to it, that may be older than what is known. Backends that it closes are closed at once. A recently
+    /// closed process of a backend is reopened only [`crate::REOPEN_AFTER`] after its closing, when no discovery service
+    /// can lag behind any more.
     pub fn uncertain_list(&mut self, now: Time, scope: Scope, hosts: Vec<Host>) {
-        let hosts = hosts.into_iter().map(|host| self.defer_opening(now, host)).collect();
+        let hosts = hosts.into_iter().map(|host| self.adjust_uncertain_entry(now, host)).collect();
         self.apply_list(now, scope, hosts);
     }
 
@@ -479,14 +496,15 @@
         self.closings.record_closing(now, id, born_ms.max(known));
     }
 
-    /// Adjusts an entry of an uncertain list to what may take effect now.
-    fn defer_opening(&mut self, now: Time, mut host: Host) -> Host {
+    /// Changes an entry of an uncertain list to what may be applied now. An entry about an older process than the known one
+    /// becomes the known state. An opening that has to wait is stored with a timer and becomes a draining.
+    fn adjust_uncertain_entry(&mut self, now: Time, mut host: Host) -> Host {
         let id = BackendId(number_of(&host.host));
         if host.state() != State::Up {
             self.record_closing(now, id, host.born_ms);
             return host;
         }
-        // The entry describes an older process than the known one.
+        // The entry is about an older process than the known one, whose address and state it must not replace.
         if let Some(known) = self.endpoints.get(&id).filter(|known| known.born_ms > host.born_ms) {
             (host.dial, host.born_ms) = (Some(known.address), known.born_ms);
             host.health = if known.is_open() { UP } else { DRAINING }.into();
@@ -534,12 +552,14 @@
         self.effects.listed(scope, has_backends);
     }
 
-    /// Answers a request that has no answer near its deadline: failed if it may have run, else refused.
+    /// Answers a request that is still unanswered near its deadline: refused if the policy has requested no attempt, else
+    /// failed.
     fn on_deadline(&mut self, now: Time, id: RequestId) {
         let Some(pending) = self.pending.get(&id) else { return };
-        let is_ending = self.end.is_some_and(|end| end <= now + ANSWER_MARGIN);
-        if !is_ending && pending.deadline > now + ANSWER_MARGIN {
-            return; // the deadline has moved, and another timer is set
+        let is_shutdown_near = self.shutdown_deadline.is_some_and(|at| at <= now + ANSWER_MARGIN);
+        if !is_shutdown_near && pending.deadline > now + ANSWER_MARGIN {
+            // The deadline has moved. It has a timer of its own, unless it is `NO_DEADLINE` for the time being.
+            return;
         }
         let answer = if pending.attempts.count() == 0 { Answer::Refused(None) } else { Answer::Failed };
         if self.answer(now, id, answer, Cause::Deadline) {
@@ -578,10 +598,11 @@
         self.close(id, |effects, held| effects.answer(held, id, answer, cause))
     }
 
-    /// Answers a request that may not be sent any more: refused if nothing was sent before, else failed.
+    /// Answers a request that may not be sent any more: refused if the attempt that has just been denied was its first,
+    /// else failed.
     fn reject_unsendable(&mut self, now: Time, id: RequestId) {
-        let first = self.pending.get(&id).is_some_and(|p| p.attempts.count() <= 1);
-        let answer = if first { Answer::Refused(None) } else { Answer::Failed };
+        let is_first = self.pending.get(&id).is_some_and(|p| p.attempts.count() <= 1);
+        let answer = if is_first { Answer::Refused(None) } else { Answer::Failed };
         if self.answer(now, id, answer, Cause::Denied) {
             self.handle(now, Event::Abandoned(id));
         }
@@ -662,24 +683,24 @@
             Action::Fail(request) => {
                 self.answer(self.now, request, Answer::Failed, Cause::Policy);
             }
-            Action::Timer { token, at } => self.timers.push(Reverse((from_ms(at), TimerKind::Module(token)))),
+            Action::Timer { token, at } => self.timers.push(Reverse((from_ms(at), TimerKind::Policy(token)))),
             Action::Broadcast(bytes) => self.effects.broadcast(bytes),
             Action::Subscribe => self.effects.subscribe(),
             Action::FetchList => self.effects.fetch_list(),
         }
     }
 
-    /// Starts forwarding a long request. The client's time counts from its last byte; until that has come, the only deadline
-    /// is the end of the process.
+    /// Starts forwarding a long request. Its deadline counts from the client's last byte; until that is received, the only
+    /// deadline is that of a shutdown, if there is one.
     fn begin_upload(&mut self, request: RequestId) {
-        let open_ended = self.within_end(NO_DEADLINE);
+        let shutdown_or_none = self.limit_to_shutdown(NO_DEADLINE);
         let Some(pending) = self.pending.get_mut(&request) else { return };
         if pending.received.is_some() {
             self.renew_deadline(self.now, request);
             return;
         }
-        let last = pending.set_deadline(open_ended);
-        if self.end.is_some() {
+        let last = pending.set_deadline(shutdown_or_none);
+        if self.shutdown_deadline.is_some() {
             self.timers.push(Reverse((last, TimerKind::Deadline(request))));
         }
     }
@@ -689,15 +710,15 @@
         &self, request: &PendingRequest<O::Held>, backend: BackendId,
     ) -> Result<Rc<Endpoint>, Denial> {
         let endpoint = self.endpoints.get(&backend).ok_or(Denial::EndpointClosed)?;
-        let open_ended = request.upload.is_some() && request.received.is_none();
-        let deadline = if open_ended { NO_DEADLINE } else { request.deadline };
+        let is_still_received = request.upload.is_some() && request.received.is_none();
+        let deadline = if is_still_received { NO_DEADLINE } else { request.deadline };
         let facts = SendFacts {
             wanted: request.open,
             endpoint_open: endpoint.is_open(),
             lease_holds: self.effects.may_send(&request.held),
             time_left: deadline.saturating_sub(self.now),
-            repeat_dropped: true,     // checked below by may_repeat
-            head_age: Duration::ZERO, // the head is made later
+            repeat_dropped: true,     // may_repeat checks this after may_send
+            head_age: Duration::ZERO, // there is no head yet
         };
         facts.may_send()?;
         request.attempts.may_repeat(request.effect, self.now, endpoint.place())?;
@@ -734,7 +755,7 @@
         self.effects.attempt(&pending.held, attempt);
     }
 
-    /// Denies an attempt that the module requested.
+    /// Denies an attempt that the policy requested.
     fn deny(&mut self, request: RequestId, number: u32, denial: Denial) {
         self.effects.denied(request, number, denial);
         if let Some(violation) = Violation::of(denial) {
--- a/crates/sandgap-driver/src/core/tests/reopening.rs
+++ b/crates/sandgap-driver/src/core/tests/reopening.rs
@@ -1,4 +1,4 @@
-//! Tests of lists that may be outdated.
+//! Tests of lists that may be outdated (uncertain): which closed backends they reopen, and when.
 
 use super::*;
 use crate::REOPEN_AFTER;
@@ -12,7 +12,7 @@
     core.endpoints.get(&id(name)).is_some_and(|e| e.is_open())
 }
 
-fn born(name: &str, port: u16, health: &str, born_ms: f64) -> Host {
+fn host_born_at(name: &str, port: u16, health: &str, born_ms: f64) -> Host {
     Host { born_ms, ..host(name, port, health) }
 }
 
@@ -28,7 +28,7 @@
     core.run_due_timers(effective_at - at(1));
     assert!(!is_open(&core, "a"));
     core.run_due_timers(effective_at);
-    assert!(is_open(&core, "a"), "no service lags this long");
+    assert!(is_open(&core, "a"), "no discovery service lags behind for longer than this");
     assert!(!is_open(&core, "b"));
 }
 
@@ -49,10 +49,10 @@
 #[test]
 fn a_new_process_is_opened_at_once_and_an_entry_of_an_older_one_does_not_replace_it() {
     let mut core = core();
-    core.list(at(1000), Scope::Delta, vec![born("a", 1, "draining", 100.0)]);
-    core.uncertain_list(at(2000), Scope::Delta, vec![born("a", 3, "up", 200.0)]);
+    core.list(at(1000), Scope::Delta, vec![host_born_at("a", 1, "draining", 100.0)]);
+    core.uncertain_list(at(2000), Scope::Delta, vec![host_born_at("a", 3, "up", 200.0)]);
     assert!(is_open(&core, "a"));
-    core.uncertain_list(at(3000), Scope::Full, vec![born("a", 1, "up", 100.0)]);
+    core.uncertain_list(at(3000), Scope::Full, vec![host_born_at("a", 1, "up", 100.0)]);
     assert_eq!(core.address(id("a")).map(|a| a.port()), Some(3));
     assert!(is_open(&core, "a"));
 }
@@ -60,9 +60,9 @@
 #[test]
 fn a_closing_without_a_start_time_applies_to_the_known_process() {
     let mut core = core();
-    core.list(at(1000), Scope::Delta, vec![born("a", 1, "up", 100.0)]);
-    core.list(at(2000), Scope::Delta, vec![born("a", 1, "removed", 0.0)]);
-    core.uncertain_list(at(3000), Scope::Delta, vec![born("a", 1, "up", 100.0)]);
+    core.list(at(1000), Scope::Delta, vec![host_born_at("a", 1, "up", 100.0)]);
+    core.list(at(2000), Scope::Delta, vec![host_born_at("a", 1, "removed", 0.0)]);
+    core.uncertain_list(at(3000), Scope::Delta, vec![host_born_at("a", 1, "up", 100.0)]);
     assert!(!is_open(&core, "a"));
 }
 
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Default)]
 struct Expected {
     closed_at: Option<Time>,
-    /// The last uncertain list since the closing said that it accepts requests.
+    /// An uncertain list has said since the closing that the backend accepts requests.
     opened_by_uncertain: bool,
     open: bool,
 }
@@ -86,8 +86,8 @@
             now += at(rng.u64(1..2500));
             core.run_due_timers(now);
             for state in &mut expected {
-                let is_over = state.closed_at.is_some_and(|closed| now >= closed + REOPEN_AFTER);
-                if is_over && state.opened_by_uncertain {
+                let delay_is_over = state.closed_at.is_some_and(|closed| now >= closed + REOPEN_AFTER);
+                if delay_is_over && state.opened_by_uncertain {
                     *state = Expected { open: true, ..Expected::default() };
                 }
             }
--- a/crates/sandgap-driver/src/endpoint.rs
+++ b/crates/sandgap-driver/src/endpoint.rs
@@ -8,24 +8,25 @@
 
 use crate::permit::Place;
 
-/// One entry of the list of backends.
+/// One entry of the list of backends. The field names are those of discovery's JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
     /// Host name, the same at every proxy.
     pub host: String,
     /// Address to connect to; `None` if it can't be parsed.
     pub dial: Option<SocketAddr>,
-    /// Zone.
+    /// Zone of the backend.
     pub site: Option<String>,
-    /// Kind of machine.
+    /// Kind of machine that the backend runs on.
     pub class: Option<String>,
-    /// Cell.
+    /// Cell of the backend.
     pub block: Option<u64>,
-    /// `up`, `draining` or `removed`.
+    /// State: `up`, `draining` or `removed`. Any other text counts as `draining`.
     pub health: String,
-    /// Rating.
+    /// Rating of the backend's capacity; 1 if it is missing.
     pub share: Option<f64>,
-    /// Unix time of the process start in milliseconds; 0 for long ago.
+    /// Unix time in milliseconds at which the backend's process started. 0 if unknown; it is then taken to have started
+    /// long ago.
     pub born_ms: f64,
 }
 
@@ -65,7 +66,7 @@
 struct Counts {
     /// Attempts in flight.
     in_flight: Cell<u32>,
-    /// Attempts that were served or failed, and how many of them failed.
+    /// Number of attempts that were served or failed, and how many of them failed.
     ended: Cell<(u64, u64)>,
 }
 
@@ -73,10 +74,10 @@
 pub struct InFlightGuard(Rc<Counts>);
 
 impl InFlightGuard {
-    /// Counts the attempt as served (`well`) or failed.
-    pub fn ended(&self, well: bool) {
+    /// Counts the attempt as one that has been served, or else has failed. It stays in flight until the guard is dropped.
+    pub fn ended(&self, served: bool) {
         let (ended, failed) = self.0.ended.get();
-        self.0.ended.set((ended + 1, failed + u64::from(!well)));
+        self.0.ended.set((ended + 1, failed + u64::from(!served)));
     }
 }
 
@@ -110,27 +111,27 @@
         self.counts.in_flight.get()
     }
 
-    /// Attempts that were served or failed, and how many of them failed.
+    /// Number of attempts at this backend that were served or failed, and how many of them failed.
     pub fn ended(&self) -> (u64, u64) {
         self.counts.ended.get()
     }
 
-    /// Its place, which decides where duplicates are dropped.
+    /// The backend's zone and cell, which decide whether it drops a duplicate.
     pub fn place(&self) -> Place {
         self.place.get()
     }
 
-    /// Sets its place.
+    /// Sets the backend's zone and cell.
     pub fn set_place(&self, place: Place) {
         self.place.set(place);
     }
 
-    /// Whether new attempts may go there: it is not draining, gone or replaced.
+    /// Whether new attempts may start here: the endpoint is not draining, gone or replaced.
     pub fn is_open(&self) -> bool {
         self.open.get()
     }
 
-    /// Opens or closes it. Owners of resources for it are notified separately, see [`crate::Effects::retire`].
+    /// Opens or closes the endpoint to new attempts. Owners of resources for it are notified separately, see [`crate::Effects::retire`].
     pub fn set_open(&self, open: bool) {
         self.open.set(open);
     }
