--- a/crates/sandgap-rollout/src/controller.rs
+++ b/crates/sandgap-rollout/src/controller.rs
@@ -56,14 +56,14 @@
     rules: Rc<Rulebook>,
     rules_version: Version,
     /// Proxies that may hold a lease, with their last report.
-    live: BTreeMap<&'a String, News>,
+    reports: BTreeMap<&'a String, News>,
 }
 
 /// Returns proxies that may hold a lease, with their last report.
-fn live_proxies<'a>(view: &'a View<'a>) -> BTreeMap<&'a String, News> {
-    let decode_report = |told: &[(u8, Vec<u8>)]| {
-        let own = told.iter().find(|(tag, _)| *tag == TAG);
-        own.and_then(|(_, bytes)| News::decode(bytes)).unwrap_or_default()
+fn reports_of_live_proxies<'a>(view: &'a View<'a>) -> BTreeMap<&'a String, News> {
+    let decode_report = |parts: &[(u8, Vec<u8>)]| {
+        let own_part = parts.iter().find(|(tag, _)| *tag == TAG);
+        own_part.and_then(|(_, bytes)| News::decode(bytes)).unwrap_or_default()
     };
     view.live().map(|(name, known)| (name, decode_report(&known.report.told))).collect()
 }
@@ -102,7 +102,7 @@
         let mut entries: Vec<Entry> = Vec::new();
         entries.extend(self.observe(&context));
         entries.extend(self.due_grant(&context));
-        entries.extend(self.release_controller.lead(ledger, view.now, &context.live));
+        entries.extend(self.release_controller.lead(ledger, view.now, &context.reports));
         self.note_rules(&context);
         for (target, fence, phase) in ledger.granted() {
             let entry = match phase {
@@ -136,8 +136,8 @@
                 self.last_heard.remove(&name);
             }
         }
-        let live = live_proxies(view);
-        let context = Context { ledger, view, rules, rules_version: view.machine.standing(), live };
+        let reports = reports_of_live_proxies(view);
+        let context = Context { ledger, view, rules, rules_version: view.machine.standing(), reports };
         self.note_healthy(&context);
         Some(context)
     }
@@ -152,12 +152,12 @@
 
     fn note_healthy(&mut self, context: &Context) {
         let mut healthy: BTreeSet<Target> = context
-            .live
+            .reports
             .iter()
             .filter(|(name, news)| !is_guest(name) && news.version > 0)
             .map(|(name, _)| Target::proxy(name))
             .collect();
-        let dialling: Vec<&News> = context.live.values().filter(|n| n.dialled).collect();
+        let dialling: Vec<&News> = context.reports.values().filter(|n| n.dialled).collect();
         for (target, _, draining) in context.backends() {
             let missed = dialling.iter().filter(|n| n.missed.contains(&target.name)).count();
             if !dialling.is_empty() && 2 * missed < dialling.len() && !draining {
@@ -178,15 +178,15 @@
     /// Differences between the ledger's known targets and what this leader observes.
     fn observe(&self, context: &Context) -> Option<Entry> {
         let now = context.view.now;
-        let measured = context.live.values().any(|n| n.dialled);
-        let mut all: Vec<(Target, Option<Known>)> = Vec::new();
+        let measured = context.reports.values().any(|n| n.dialled);
+        let mut changes: Vec<(Target, Option<Known>)> = Vec::new();
         let mut note = |target: Target, labels: Labels, lost: Option<bool>| {
             let old = context.ledger.targets().get(&target);
             // Without observations the known state stays; a new target counts as lost until it has been observed.
             let lost = lost.unwrap_or_else(|| old.is_none_or(|k| k.lost));
             let known = Known { labels, lost };
             if old != Some(&known) {
-                all.push((target, Some(known)));
+                changes.push((target, Some(known)));
             }
         };
         let mut listed: BTreeSet<Target> = BTreeSet::new();
@@ -204,22 +204,22 @@
             listed.insert(target.clone());
             note(target, labels, lost);
         }
-        for (name, news) in context.live.iter().filter(|(name, _)| !is_guest(name)) {
+        for (name, news) in context.reports.iter().filter(|(name, _)| !is_guest(name)) {
             let target = Target::proxy(name);
             let lost = if self.is_healthy(now, &target) { Some(false) } else { None };
             note(target, Labels { zone: news.zone.clone(), ..Labels::default() }, lost);
         }
-        let silent = |t: &&Target| t.side == Side::Proxy && !context.live.contains_key(&t.name);
+        let silent = |t: &&Target| t.side == Side::Proxy && !context.reports.contains_key(&t.name);
         for (target, known) in context.ledger.targets().iter().filter(|(t, _)| silent(t)) {
             note(target.clone(), known.labels.clone(), Some(true));
         }
         if context.rules.backends.is_some() {
             let gone =
                 context.ledger.targets().keys().filter(|t| t.side == Side::Backend && !listed.contains(*t));
-            all.extend(gone.map(|t| (t.clone(), None)));
+            changes.extend(gone.map(|t| (t.clone(), None)));
         }
-        all.truncate(MAX_SEEN_CHANGES);
-        (!all.is_empty()).then_some(Entry::Seen(all))
+        changes.truncate(MAX_SEEN_CHANGES);
+        (!changes.is_empty()).then_some(Entry::Seen(changes))
     }
 
     /// The next permit to grant, if any.
@@ -249,8 +249,8 @@
             }
         }
         // Targets in use at all live proxies and healthy, without interruption since.
-        let (now, live) = (context.view.now, &context.live);
-        let applied_everywhere = |version: &Version| live.values().all(|n| n.version >= *version);
+        let (now, reports) = (context.view.now, &context.reports);
+        let applied_everywhere = |version: &Version| reports.values().all(|news| news.version >= *version);
         let warming: Vec<(Target, Fence)> = self
             .used_version
             .iter()
@@ -273,7 +273,7 @@
                 let blocker = |name: &String| self.may_still_send(context, name, &target.name, *since);
                 self.last_heard.keys().find_map(blocker)
             }
-            Side::Proxy => match context.live.get(&target.name) {
+            Side::Proxy => match context.reports.get(&target.name) {
                 Some(news) if news.out && news.open == 0 && news.held == 0 => None,
                 Some(news) if news.out => {
                     Some(format!("{} requests that it has open", news.open.max(news.held)))
@@ -288,7 +288,7 @@
     fn may_still_send(
         &self, context: &Context, proxy: &String, backend: &str, since: Version,
     ) -> Option<String> {
-        match context.live.get(proxy) {
+        match context.reports.get(proxy) {
             Some(news) if news.version < since => Some(format!("{proxy} to act on version {since}")),
             Some(news) => match news.held_at(backend) {
                 Some(0) => None,
@@ -311,8 +311,8 @@
                  'sandgap fleet forget {proxy}'"
             ));
         };
-        let at = self.last_heard.get(proxy).copied().unwrap_or(context.view.led);
-        match context.view.now >= at + max_silence {
+        let last_heard = self.last_heard.get(proxy).copied().unwrap_or(context.view.led);
+        match context.view.now >= last_heard + max_silence {
             true => Ok(()),
             false => Err(format!("{proxy}, which is silent, until its last request must have ended")),
         }
@@ -324,11 +324,11 @@
         let Some(version) = self.used_version.get(&key) else {
             return Some("the rules to use it again".into());
         };
-        if target.side == Side::Proxy && context.live.get(&target.name).is_none_or(|n| n.out) {
+        if target.side == Side::Proxy && context.reports.get(&target.name).is_none_or(|n| n.out) {
             return Some("the proxy to be heard, taking clients".into());
         }
         let Some(since) = self.warming_since.get(&key) else {
-            let behind = context.live.iter().find(|(_, n)| n.version < *version).map(|(name, _)| name);
+            let behind = context.reports.iter().find(|(_, n)| n.version < *version).map(|(name, _)| name);
             return Some(match behind {
                 Some(name) => format!("{name} to act on version {version}"),
                 None => "being reached from most voters".into(),
@@ -345,8 +345,8 @@
     /// What each target that is out waits for, as far as this voter can tell.
     pub fn explain(&self, ledger: &Ledger, view: &View) -> Vec<(Target, String)> {
         let Some(rules) = self.rules(view) else { return Vec::new() };
-        let live = live_proxies(view);
-        let context = Context { ledger, view, rules, rules_version: view.machine.standing(), live };
+        let reports = reports_of_live_proxies(view);
+        let context = Context { ledger, view, rules, rules_version: view.machine.standing(), reports };
         let wait = |(target, fence, phase): (&Target, Fence, Phase)| {
             let for_what = match phase {
                 Phase::Granted => self.waits_to_drain(&context, target, fence),
@@ -361,18 +361,18 @@
 
 /// Measured load and capacity; `None` until a voter has reported capacities.
 fn evidence(context: &Context) -> Option<Evidence> {
-    let load = context.live.values().map(|n| u64::from(n.held) * 1000).sum();
+    let load = context.reports.values().map(|n| u64::from(n.held) * 1000).sum();
     let mut reported: BTreeMap<String, Vec<u64>> = BTreeMap::new();
-    for (name, holds) in context.live.values().flat_map(|n| n.holds.iter().cloned()) {
+    for (name, holds) in context.reports.values().flat_map(|n| n.holds.iter().cloned()) {
         reported.entry(name).or_default().push(holds);
     }
     // Median of the reported estimates; the lower one if their number is even.
-    let lower_median = |mut all: Vec<u64>| {
-        all.sort_unstable();
-        all[(all.len() - 1) / 2]
+    let lower_median = |mut estimates: Vec<u64>| {
+        estimates.sort_unstable();
+        estimates[(estimates.len() - 1) / 2]
     };
     let holds: BTreeMap<String, u64> =
-        reported.into_iter().map(|(name, all)| (name, lower_median(all))).collect();
+        reported.into_iter().map(|(name, estimates)| (name, lower_median(estimates))).collect();
     (!holds.is_empty()).then_some(Evidence { load, holds })
 }
 
@@ -381,19 +381,19 @@
     let mut rules = Rulebook::clone(&context.rules);
     let listed =
         |name: &str| context.rules.backends.as_ref().is_none_or(|all| all.iter().any(|b| b.name == name));
-    let (mut drains, mut undrains) = (Vec::new(), Vec::new());
+    let (mut drained, mut undrained) = (Vec::new(), Vec::new());
     for (target, _, phase) in context.ledger.granted().filter(|(t, ..)| t.side == Side::Backend) {
         match phase {
             Phase::Granted | Phase::Drained(_)
                 if listed(&target.name) && rules.drained.insert(target.name.clone()) =>
             {
-                drains.push(target.name.as_str());
+                drained.push(target.name.as_str());
             }
-            Phase::Returning if rules.drained.remove(&target.name) => undrains.push(target.name.as_str()),
+            Phase::Returning if rules.drained.remove(&target.name) => undrained.push(target.name.as_str()),
             _ => {}
         }
     }
-    if drains.is_empty() && undrains.is_empty() {
+    if drained.is_empty() && undrained.is_empty() {
         return None;
     }
     let part = |what: &str, names: &[&str]| match names {
@@ -401,6 +401,6 @@
         names => Some(format!("{what} {}", names.join(", "))),
     };
     let why: Vec<String> =
-        [part("drain", &drains), part("undrain", &undrains)].into_iter().flatten().collect();
+        [part("drain", &drained), part("undrain", &undrained)].into_iter().flatten().collect();
     Some(Wish::Rules(Box::new(rules), format!("permits: {}", why.join("; "))))
 }
--- a/crates/sandgap-rollout/src/ledger.rs
+++ b/crates/sandgap-rollout/src/ledger.rs
@@ -359,8 +359,8 @@
 
     /// Targets that are out under a permit, with its fence and their phase.
     pub fn granted(&self) -> impl Iterator<Item = (&Target, Fence, Phase)> {
-        let grants = self.permits.values().filter_map(|p| p.grant.as_ref());
-        grants.flat_map(|(fence, all)| all.iter().map(move |(t, phase)| (t, *fence, *phase)))
+        let grants = self.permits.values().filter_map(|permit| permit.grant.as_ref());
+        grants.flat_map(|(fence, phases)| phases.iter().map(move |(target, phase)| (target, *fence, *phase)))
     }
 
     /// Fence and phase of a target, if it is out under a permit.
@@ -384,8 +384,8 @@
     /// # Errors
     /// The first conflict that prevents the grant.
     pub fn check_grant(&self, permit: &Permit, evidence: Option<&Evidence>) -> Result<(), Refusal> {
-        if let Some(held) = self.conflicting_grant(&permit.asking.targets) {
-            return Err(held);
+        if let Some(conflict) = self.conflicting_grant(&permit.asking.targets) {
+            return Err(conflict);
         }
         if permit.asking.beyond.is_some() {
             return Ok(());
@@ -407,11 +407,11 @@
         }
     }
 
-    fn set_fits_bounds_alone(&self, set: &BTreeSet<Target>) -> Result<(), Against> {
+    fn set_fits_bounds_alone(&self, targets: &BTreeSet<Target>) -> Result<(), Against> {
         let known = self.targets.iter().map(|(t, k)| (t.clone(), k.labels.clone())).collect();
-        let counts: Vec<Bound> =
+        let static_bounds: Vec<Bound> =
             self.bounds.iter().filter(|b| !matches!(b.most, Most::Need { .. })).copied().collect();
-        Fleet { known: &known, out: &BTreeSet::new() }.check_out(set, &counts, None)
+        Fleet { known: &known, out: &BTreeSet::new() }.check_out(targets, &static_bounds, None)
     }
 
     /// The next permit to grant: the first in queue order that fits the bounds. A permit that has been overtaken too
@@ -440,17 +440,17 @@
 
     /// Waiting permits in queue order: permits overtaken too often first, then by priority, then by age.
     fn queue(&self) -> Vec<&Permit> {
-        let mut all: Vec<&Permit> = self.permits.values().filter(|p| p.grant.is_none()).collect();
-        all.sort_by_key(|p| (p.overtaken < MAX_OVERTAKES, std::cmp::Reverse(p.asking.priority), p.order));
-        all
+        let mut waiting: Vec<&Permit> = self.permits.values().filter(|p| p.grant.is_none()).collect();
+        waiting.sort_by_key(|p| (p.overtaken < MAX_OVERTAKES, std::cmp::Reverse(p.asking.priority), p.order));
+        waiting
     }
 
-    fn conflicting_grant(&self, set: &BTreeSet<Target>) -> Option<Refusal> {
+    fn conflicting_grant(&self, targets: &BTreeSet<Target>) -> Option<Refusal> {
         let permits = self.permits.values().filter_map(|p| Some((p, p.grant.as_ref()?)));
-        permits.flat_map(|(p, (fence, all))| all.keys().map(move |t| (p, *fence, t))).find_map(
+        permits.flat_map(|(p, (fence, phases))| phases.keys().map(move |t| (p, *fence, t))).find_map(
             |(p, fence, t)| {
                 let (holder, why) = (p.asking.holder.clone(), p.asking.why.clone());
-                set.contains(t).then(|| Refusal::Held { target: t.clone(), fence, holder, why })
+                targets.contains(t).then(|| Refusal::Held { target: t.clone(), fence, holder, why })
             },
         )
     }
@@ -476,7 +476,7 @@
             }
             Entry::Bounds { bounds, by, why } => self.set_bounds(bounds, &by, &why),
             Entry::Forget { proxy, by } => self.forget(&proxy, &by),
-            Entry::Seen(all) => Ok(self.seen(all)),
+            Entry::Seen(changes) => Ok(self.seen(changes)),
             Entry::Grant { id, evidence } => Ok(self.grant(id, evidence.as_ref())),
             Entry::Drained { target, fence, version } => Ok(self.drained(&target, fence, version)),
             Entry::Back { target, fence } => Ok(self.back(&target, fence)),
@@ -485,8 +485,8 @@
     }
 
     fn ask(&mut self, asking: Asking) -> Result<Verdict, Refusal> {
-        if let Some(known) = self.request_verdict(asking.id) {
-            return Ok(known);
+        if let Some(verdict) = self.request_verdict(asking.id) {
+            return Ok(verdict);
         }
         match asking.targets.len() {
             0 => return Err(Refusal::Nothing),
@@ -496,8 +496,8 @@
         if let Some(unknown) = asking.targets.iter().find(|t| !self.targets.contains_key(t)) {
             return Err(Refusal::Unknown(unknown.clone()));
         }
-        if let Some(held) = self.conflicting_grant(&asking.targets).filter(|_| !asking.waits) {
-            return Err(held);
+        if let Some(conflict) = self.conflicting_grant(&asking.targets).filter(|_| !asking.waits) {
+            return Err(conflict);
         }
         if self.permits.len() >= MAX_PERMITS {
             return Err(Refusal::Full);
@@ -524,12 +524,12 @@
                 None => Verdict::Waits(self.queue().iter().take_while(|p| p.asking.id != id).count()),
             });
         }
-        self.ended.iter().find(|(i, _)| *i == id).map(|(_, fence)| Verdict::Ended(*fence))
+        self.ended.iter().find(|(ended_id, _)| *ended_id == id).map(|(_, fence)| Verdict::Ended(*fence))
     }
 
     fn withdraw(&mut self, id: u64, by: &str) -> Result<Verdict, Refusal> {
         let order = self.permits.values().find(|p| p.asking.id == id).map(|p| p.order);
-        let Some(permit) = order.and_then(|o| self.permits.get_mut(&o)) else {
+        let Some(permit) = order.and_then(|order| self.permits.get_mut(&order)) else {
             return match self.request_verdict(id) {
                 Some(ended) => Ok(ended),
                 None => Err(Refusal::NoPermit(id)),
@@ -537,7 +537,7 @@
         };
         let text = format!("{} gives up what {} asked for", cut(by), permit.asking.holder);
         match &mut permit.grant {
-            Some((_, all)) => all.values_mut().for_each(|phase| *phase = Phase::Returning),
+            Some((_, phases)) => phases.values_mut().for_each(|phase| *phase = Phase::Returning),
             None => {
                 let order = permit.order;
                 self.permits.remove(&order);
@@ -556,17 +556,19 @@
     }
 
     fn phase_mut(&mut self, target: &Target, fence: Fence) -> Option<&mut Phase> {
-        let grants = self.permits.values_mut().filter_map(|p| p.grant.as_mut());
-        grants.filter(|(f, _)| *f == fence).find_map(|(_, all)| all.get_mut(target))
+        let grants = self.permits.values_mut().filter_map(|permit| permit.grant.as_mut());
+        grants.filter(|(granted, _)| *granted == fence).find_map(|(_, phases)| phases.get_mut(target))
     }
 
-    /// An old fence returns nothing, because the target may belong to another permit by now. A repeated call gets
-    /// [`Verdict::Ended`].
+    /// Applies a holder's report that it has finished with a target. An old fence has no effect, because the target may
+    /// belong to another permit by now. A repeated report gets [`Verdict::Ended`].
     fn returned(&mut self, target: &Target, fence: Fence, runs: Option<String>) -> Result<Verdict, Refusal> {
         let last_fence = self.last_fence;
-        let under =
-            |p: &&Permit| p.grant.as_ref().is_some_and(|(f, all)| *f == fence && all.contains_key(target));
-        let Some(permit) = self.permits.values().find(under) else {
+        let holds_target = |permit: &&Permit| {
+            let grant = permit.grant.as_ref();
+            grant.is_some_and(|(granted, phases)| *granted == fence && phases.contains_key(target))
+        };
+        let Some(permit) = self.permits.values().find(holds_target) else {
             return match fence <= last_fence {
                 true => Ok(Verdict::Ended(fence)),
                 false => Err(Refusal::Stale { target: target.clone(), fence }),
@@ -584,11 +586,11 @@
         Ok(Verdict::Done)
     }
 
-    /// Targets that are still draining return at once. A drained target belongs to its holder and may be stopped, so
+    /// Halts all grants. Targets that are still draining return at once. A drained target belongs to its holder and may be stopped, so
     /// it counts as out until it is observed back.
     fn halt(&mut self, by: String, why: String) -> Verdict {
-        let grants = self.permits.values_mut().filter_map(|p| p.grant.as_mut());
-        for phase in grants.flat_map(|(_, all)| all.values_mut()).filter(|p| **p == Phase::Granted) {
+        let grants = self.permits.values_mut().filter_map(|permit| permit.grant.as_mut());
+        for phase in grants.flat_map(|(_, phases)| phases.values_mut()).filter(|p| **p == Phase::Granted) {
             *phase = Phase::Returning;
         }
         self.record_line(format!("{by} halts: {why}"), false);
@@ -600,8 +602,8 @@
         if bounds.len() > MAX_BOUNDS {
             return Err(Refusal::Bounds(bounds.len()));
         }
-        let all: Vec<String> = bounds.iter().map(ToString::to_string).collect();
-        let listed = if all.is_empty() { "none".into() } else { all.join("; ") };
+        let texts: Vec<String> = bounds.iter().map(ToString::to_string).collect();
+        let listed = if texts.is_empty() { "none".into() } else { texts.join("; ") };
         self.record_line(format!("{} sets bounds ({}): {listed}", cut(by), cut(why)), false);
         self.bounds = bounds;
         Ok(Verdict::Done)
@@ -620,8 +622,8 @@
         }
     }
 
-    fn seen(&mut self, all: Vec<(Target, Option<Known>)>) -> Verdict {
-        for (target, known) in all {
+    fn seen(&mut self, changes: Vec<(Target, Option<Known>)>) -> Verdict {
+        for (target, known) in changes {
             match known {
                 None => self.remove_target(&target),
                 Some(known) if self.targets.contains_key(&target) || self.targets.len() < MAX_TARGETS => {
@@ -646,8 +648,8 @@
         let mut ended = Vec::new();
         for permit in self.permits.values_mut() {
             match &mut permit.grant {
-                Some((fence, all)) => {
-                    if all.remove(target).is_some() && all.is_empty() {
+                Some((fence, phases)) => {
+                    if phases.remove(target).is_some() && phases.is_empty() {
                         ended.push((permit.order, permit.asking.id, *fence));
                     }
                 }
@@ -674,8 +676,8 @@
             return Verdict::Done;
         };
         // Counts one more overtaking for each earlier request that still waits.
-        for passed in self.permits.range_mut(..order).map(|(_, p)| p).filter(|p| p.grant.is_none()) {
-            passed.overtaken = passed.overtaken.saturating_add(1);
+        for earlier in self.permits.range_mut(..order).map(|(_, p)| p).filter(|p| p.grant.is_none()) {
+            earlier.overtaken = earlier.overtaken.saturating_add(1);
         }
         self.last_fence += 1;
         let fence = self.last_fence;
--- a/crates/sandgap-rollout/src/limits.rs
+++ b/crates/sandgap-rollout/src/limits.rs
@@ -2,11 +2,12 @@
 
 use std::time::Duration;
 
-/// Maximum number of bounds: enough for a few scopes each of proxies and backends.
+/// Maximum number of bounds: enough for a few each for proxies and for backends (by fleet, zone, cell and kind).
 pub const MAX_BOUNDS: usize = 16;
 /// Maximum number of known targets: all proxies and backends of a large fleet.
 pub const MAX_TARGETS: usize = 16_384;
-/// Maximum number of permits, waiting and granted together. Each belongs to a task in progress.
+/// Maximum number of permits, waiting and granted together. Each belongs to one task of maintenance that is in progress or
+/// about to start.
 pub const MAX_PERMITS: usize = 128;
 /// Maximum number of targets of one permit: a zone of a large fleet. They fit into one log entry.
 pub const MAX_PERMIT_TARGETS: usize = 1024;
@@ -25,12 +26,13 @@
 pub const ENDED_PERMITS: usize = 512;
 /// How often later permits may overtake a waiting one before it goes first, whatever its priority.
 pub const MAX_OVERTAKES: u32 = 3;
-/// Maximum number of targets that proxies watch for a leader at once: all that are out. They fit into a leader's
-/// message to a proxy.
+/// Maximum number of backends in a leader's message to a proxy: those that are out under a permit, at which the proxy
+/// reports its attempts in flight, and likewise those of the release under test. Both lists fit into one message.
 pub const MAX_WATCHED: usize = 1024;
-/// Maximum number of target state changes in one entry.
+/// Maximum number of targets whose changed state one log entry reports; the leader proposes the others afterwards.
 pub const MAX_SEEN_CHANGES: usize = 512;
 /// How long a target must be observed healthy without interruption before it counts as healthy, because it may flap.
 pub const STABLE_TIME: Duration = Duration::from_secs(2);
-/// Time added to the longest deadline for a request to end at a silent proxy.
+/// A silent proxy may have requests in flight until its lease, then the longest deadline of a class, and then this time have
+/// passed since its last report. This time is for a request to end at the proxy once its deadline has been reached.
 pub const REQUEST_END_GRACE: Duration = Duration::from_secs(1);
--- a/crates/sandgap-rollout/src/release_controller.rs
+++ b/crates/sandgap-rollout/src/release_controller.rs
@@ -1,4 +1,8 @@
-//! Leader logic for releases: requests the permits that are due, observes waves, halts and rolls back.
+//! Leader logic for releases: requests the permits that are due, compares targets with and without the release, and
+//! proposes to advance, halt or roll back a release.
+//!
+//! The log entries are named differently: [`Entry::Hold`] halts one release, [`Entry::Halt`] halts all grants of permits,
+//! and [`Entry::TurnBack`] starts the rollback of a release.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,10 +16,12 @@
 use crate::release::{Plan, Release, Stage, hash_text};
 use crate::target::{Side, Target};
 
-/// Name given as the author of a halt by the gate; it marks halts that may be rolled back automatically.
+/// Author (`by`) of a halt that the gate has caused. Only a release that was halted by this author may be rolled back
+/// without an operator, see [`Plan::backs`].
 pub const GATE: &str = "the gate";
-/// Permit priorities of a release and of a rollback; the default priority of operators' requests, 5, is between them.
-const PRIORITY: (u8, u8) = (3, 7);
+/// Priorities of permits: first for a release, then for a rollback. The default priority of operators' requests, 5, is
+/// between them.
+const RELEASE_AND_ROLLBACK_PRIORITY: (u8, u8) = (3, 7);
 
 /// Leader state about releases. It is not replicated: after an election the soak and the gate start again.
 #[derive(Debug, Default)]
@@ -28,13 +34,16 @@
 struct WaveState {
     /// Index of the wave.
     wave: usize,
-    /// Start of the soak.
+    /// When this leader first saw the wave soaking.
     soak_start: Option<Time>,
     gate: Gate,
-    /// Attempts that have ended and are not yet passed to the gate, which needs some of both groups.
+    /// Ended attempts without the release that have not been passed to the gate yet; it needs some of both groups at once.
     old: Ended,
+    /// The same, of attempts with the release.
     new: Ended,
-    /// Last counts of each proxy: cohort id, attempts at the cohort, all attempts.
+    /// Counts of each proxy's last report: the group's id, ended attempts with the release, all ended attempts. For a
+    /// release of backends the group is the cohort; for one of proxies the id is 1 if the proxy runs the release, else 0,
+    /// and the second value is not used.
     last_counts: BTreeMap<String, (u64, Ended, Ended)>,
 }
 
@@ -58,25 +67,27 @@
 }
 
 impl ReleaseController {
-    /// Entries that the leader proposes now for all active releases.
-    pub fn lead(&mut self, ledger: &Ledger, now: Time, live: &BTreeMap<&String, News>) -> Vec<Entry> {
+    /// Entries that the leader proposes now for all active releases. `reports` has the last report of each proxy that may
+    /// hold a lease.
+    pub fn lead(&mut self, ledger: &Ledger, now: Time, reports: &BTreeMap<&String, News>) -> Vec<Entry> {
         let active: Vec<&Release> = ledger.releases().filter(|r| !r.stage.has_ended()).collect();
         let active_ids: BTreeSet<u64> = active.iter().map(|r| r.plan.id).collect();
         self.waves.retain(|id, _| active_ids.contains(id));
-        active.into_iter().flat_map(|r| self.propose(ledger, r, now, live)).collect()
+        active.into_iter().flat_map(|r| self.propose(ledger, r, now, reports)).collect()
     }
 
     fn propose(
-        &mut self, ledger: &Ledger, release: &Release, now: Time, live: &BTreeMap<&String, News>,
+        &mut self, ledger: &Ledger, release: &Release, now: Time, reports: &BTreeMap<&String, News>,
     ) -> Vec<Entry> {
         let id = release.plan.id;
         if let Stage::Halted { by, back: false, .. } = &release.stage
             && by == GATE
             && release.plan.backs
         {
+            // The gate halted the release, and the plan allows an automatic rollback.
             return vec![Entry::TurnBack { release: id, by: "the plan".into() }];
         }
-        if let Some(halt) = self.observe(ledger, release, live) {
+        if let Some(halt) = self.observe(ledger, release, reports) {
             return vec![halt];
         }
         match &release.stage {
@@ -92,9 +103,10 @@
         }
     }
 
-    /// Adds the attempts that ended since the last look; returns a halt if the gate finds the release worse.
+    /// Passes the attempts that ended since the last round to the gate. Returns an entry that halts the release if the gate
+    /// finds that it fails more often than the old version.
     fn observe(
-        &mut self, ledger: &Ledger, release: &Release, live: &BTreeMap<&String, News>,
+        &mut self, ledger: &Ledger, release: &Release, reports: &BTreeMap<&String, News>,
     ) -> Option<Entry> {
         let (Stage::Wave(wave) | Stage::Soaking(wave)) = release.stage else { return None };
         let state = self.waves.entry(release.plan.id).or_default();
@@ -103,8 +115,10 @@
             *state = WaveState { wave, ..WaveState::default() };
         }
         match side(&release.plan) {
-            Side::Backend => state.count_at_backends(cohort(ledger)?.0, live),
-            Side::Proxy => state.count_at_proxies(&ledger.released(release).map(|t| &t.name).collect(), live),
+            Side::Backend => state.count_at_backends(cohort(ledger)?.0, reports),
+            Side::Proxy => {
+                state.count_at_proxies(&ledger.released(release).map(|t| &t.name).collect(), reports)
+            }
         }
         let limits = error_limits(&release.plan);
         if state.old.all > 0 && state.new.all > 0 {
@@ -118,7 +132,8 @@
         Some(Entry::Hold { release: release.plan.id, by: GATE.into(), why })
     }
 
-    /// Returns the next stage, or a halt, once the soak time is over.
+    /// Once the soak time is over, returns an entry that advances the release to its next stage, or one that halts it if
+    /// the gate has reached no finding within the plan's patience.
     fn finish_soak(&mut self, ledger: &Ledger, release: &Release, wave: usize, now: Time) -> Option<Entry> {
         let plan = &release.plan;
         let state = self.waves.get_mut(&plan.id)?;
@@ -135,7 +150,8 @@
         if now < soak_end + Duration::from_millis(plan.patience_ms) {
             return None;
         }
-        // If no target runs the old version any more, there is nothing to compare with.
+        // The gate is still undecided. If no target runs the old version any more, there is nothing to compare with, and the
+        // release advances; otherwise it is halted.
         let runs_old = |t: &&Target| t.side == side(plan) && ledger.runs(release, t) != plan.to;
         if ledger.targets().keys().any(|t| runs_old(&t)) {
             let why = "no finding in time: too few requests to tell it from what was before".into();
@@ -146,38 +162,47 @@
 }
 
 impl WaveState {
-    /// Adds the difference to the last counts of each proxy: attempts at the cohort, and at all other backends.
-    fn count_at_backends(&mut self, cohort_id: u64, live: &BTreeMap<&String, News>) {
-        for (name, news) in live {
-            let Some((current_id, new)) = news.cohort.filter(|(id, _)| *id == cohort_id) else { continue };
-            let before = self.last_counts.insert((*name).clone(), (current_id, new, news.ended));
-            let Some((_, old_new, old_all)) = before.filter(|(old_id, ..)| *old_id == current_id) else {
+    /// Adds the attempts that each proxy has counted since its last report: those at the cohort to `new`, those at all other
+    /// backends to `old`.
+    fn count_at_backends(&mut self, cohort_id: u64, reports: &BTreeMap<&String, News>) {
+        for (name, news) in reports {
+            let Some((current_id, at_cohort)) = news.cohort.filter(|(id, _)| *id == cohort_id) else {
+                continue;
+            };
+            let before = self.last_counts.insert((*name).clone(), (current_id, at_cohort, news.ended));
+            let Some((_, last_at_cohort, last_at_all)) =
+                before.filter(|(last_id, ..)| *last_id == current_id)
+            else {
                 continue;
             };
-            if let (Some(new), Some(all)) = (new.since(old_new), news.ended.since(old_all)) {
+            // `None` if the proxy has restarted since.
+            if let (Some(new), Some(all)) = (at_cohort.since(last_at_cohort), news.ended.since(last_at_all)) {
                 self.new = self.new.and(new);
                 self.old = self.old.and(all.since(new).unwrap_or_default());
             }
         }
     }
 
-    /// Adds the difference to the last counts of each proxy, by whether the proxy runs the release.
-    fn count_at_proxies(&mut self, released: &BTreeSet<&String>, live: &BTreeMap<&String, News>) {
-        for (name, news) in live {
-            let set = u64::from(released.contains(name));
-            let before = self.last_counts.insert((*name).clone(), (set, Ended::default(), news.ended));
-            let new_counts =
-                before.filter(|(old, ..)| *old == set).and_then(|(_, _, all)| news.ended.since(all));
+    /// Adds the attempts that each proxy has counted since its last report: to `new` if the proxy runs the release, else to
+    /// `old`.
+    fn count_at_proxies(&mut self, released: &BTreeSet<&String>, reports: &BTreeMap<&String, News>) {
+        for (name, news) in reports {
+            let group = u64::from(released.contains(name));
+            let before = self.last_counts.insert((*name).clone(), (group, Ended::default(), news.ended));
+            let new_counts = before
+                .filter(|(last, ..)| *last == group)
+                .and_then(|(_, _, last_all)| news.ended.since(last_all));
             let Some(new_counts) = new_counts else { continue };
-            let cohort = if set == 1 { &mut self.new } else { &mut self.old };
-            *cohort = cohort.and(new_counts);
+            let total = if group == 1 { &mut self.new } else { &mut self.old };
+            *total = total.and(new_counts);
         }
     }
 }
 
-/// One request per target that is due, so that a blocked target does not delay others.
+/// Requests for permits: one for each target that is due, so that a blocked target does not delay others.
 fn permit_requests(ledger: &Ledger, release: &Release) -> Vec<Entry> {
     let rollback = release.stage == Stage::GoingBack;
+    let (release_priority, rollback_priority) = RELEASE_AND_ROLLBACK_PRIORITY;
     let used = ledger.permits().filter(|p| p.asking.release.is_some()).count();
     let available = MAX_RELEASE_PERMITS.saturating_sub(used);
     let request = |target: Target| {
@@ -186,7 +211,7 @@
             id: ledger.request_id_for(plan.id, &target),
             holder: format!("release {}", plan.name),
             why: if rollback { format!("back to {}", plan.from) } else { format!("to {}", plan.to) },
-            priority: if rollback { PRIORITY.1 } else { PRIORITY.0 },
+            priority: if rollback { rollback_priority } else { release_priority },
             targets: BTreeSet::from([target]),
             waits: true,
             beyond: None,
--- a/crates/sandgap-rollout/tests/bounds.rs
+++ b/crates/sandgap-rollout/tests/bounds.rs
@@ -85,15 +85,15 @@
                 t.side == bound.side
                     && ledger.targets().get(t).is_some_and(|k| scope_of(bound.per, &k.labels) == scope)
             };
-            let (all, out_here) =
+            let (total, out_here) =
                 (ledger.targets().keys().filter(here).count(), out.iter().filter(here).count());
             let most = match bound.most {
                 Most::Count(n) => n as usize,
-                Most::PerMille(n) => all * n as usize / 1000,
+                Most::PerMille(n) => total * n as usize / 1000,
                 Most::Need { .. } => usize::MAX,
             };
             if out_here > most {
-                exceeded.push((format!("{bound} in {scope:?}"), format!("{out_here} of {all}")));
+                exceeded.push((format!("{bound} in {scope:?}"), format!("{out_here} of {total}")));
             }
         }
     }
@@ -168,7 +168,7 @@
     /// Applies a step and checks the invariant across it.
     fn step(&mut self, step: Step) {
         let Some(entry) = self.entry(step) else { return };
-        let (before, exceeded) = (self.ledger.clone(), exceeded_bounds(&self.ledger));
+        let (before, exceeded_before) = (self.ledger.clone(), exceeded_bounds(&self.ledger));
         let grants = matches!(entry, Entry::Grant { .. });
         let bypasses_bounds = match &entry {
             Entry::Grant { id, .. } => {
@@ -182,16 +182,19 @@
         if !grants {
             assert!(granted_after.is_subset(&granted_before), "only a grant takes anything out: {entry:?}");
         } else if granted_after != granted_before && !bypasses_bounds {
-            let now = exceeded_bounds(&self.ledger);
+            let exceeded_after = exceeded_bounds(&self.ledger);
             let scopes = |t: &Target| -> Vec<String> {
                 let labels = before.targets().get(t).map(|k| k.labels.clone()).unwrap_or_default();
-                let own = before.bounds().iter().filter(|b| b.side == t.side);
-                own.map(|b| format!("{b} in {:?}", scope_of(b.per, &labels))).collect()
+                let of_side = before.bounds().iter().filter(|b| b.side == t.side);
+                of_side.map(|b| format!("{b} in {:?}", scope_of(b.per, &labels))).collect()
             };
-            let touched: BTreeSet<String> =
+            let affected_scopes: BTreeSet<String> =
                 granted_after.difference(&granted_before).flat_map(scopes).collect();
-            let exceeded_by_grant = now.iter().find(|(scope, _)| touched.contains(scope));
-            assert!(exceeded_by_grant.is_none(), "{entry:?} {verdict:?} {now:?} {exceeded:?}");
+            let exceeded_by_grant = exceeded_after.iter().find(|(scope, _)| affected_scopes.contains(scope));
+            assert!(
+                exceeded_by_grant.is_none(),
+                "{entry:?} {verdict:?} {exceeded_after:?} {exceeded_before:?}"
+            );
             assert!(before.halted().is_none(), "granted while halted");
         }
         let mut seen = BTreeSet::new();
@@ -212,14 +215,14 @@
                 ));
             }
             let out: Vec<(Target, u64, Phase)> =
-                self.ledger.granted().map(|(t, f, p)| (t.clone(), f, p)).collect();
+                self.ledger.granted().map(|(t, fence, phase)| (t.clone(), fence, phase)).collect();
             let Some((target, fence, _)) = out.into_iter().next() else { break };
             self.ledger.apply(Entry::Returned { target: target.clone(), fence, runs: None });
             self.ledger.apply(Entry::Back { target, fence });
         }
-        let left: Vec<_> =
+        let grantable: Vec<_> =
             self.ledger.permits().filter(|p| self.ledger.check_grant(p, None).is_ok()).collect();
-        assert!(left.is_empty(), "{left:?}");
+        assert!(grantable.is_empty(), "{grantable:?}");
         assert!(self.ledger.granted().next().is_none());
     }
 }
--- a/crates/sandgap-rollout/tests/model.rs
+++ b/crates/sandgap-rollout/tests/model.rs
@@ -135,8 +135,8 @@
 /// Whether the holder's latest request reports its target as drained.
 fn is_told_drained(ledger: &Ledger, holder: usize, round: u8) -> bool {
     let id = asking(holder, round).id;
-    let own = ledger.permits().find(|p| p.asking.id == id).and_then(|p| p.grant.as_ref());
-    own.is_some_and(|(_, all)| matches!(all.get(&target(holder)), Some(Phase::Drained(_))))
+    let grant = ledger.permits().find(|p| p.asking.id == id).and_then(|p| p.grant.as_ref());
+    grant.is_some_and(|(_, phases)| matches!(phases.get(&target(holder)), Some(Phase::Drained(_))))
 }
 
 impl State {
@@ -172,17 +172,17 @@
             _ => state.apply([entry]),
         }
         let after = read(&state.ledger);
-        let more = after.granted().count() > granted;
+        let has_granted = after.granted().count() > granted;
         state.unsafe_grant |=
-            more && (after.out().len() > 1.max(out) || state.halted || after.out().len() > 1);
+            has_granted && (after.out().len() > 1.max(out) || state.halted || after.out().len() > 1);
     }
 
     fn deliver(&self, state: &mut State, message: Message) {
         match message {
             Message::Ask(holder, round) => state.apply([Entry::Ask(asking(holder, round))]),
             Message::Returned(n, fence) => {
-                let now = state.phase(n).map(|(now, _)| now);
-                let fence = if self.0 == Defect::NoFence { now.unwrap_or(fence) } else { fence };
+                let current_fence = state.phase(n).map(|(current, _)| current);
+                let fence = if self.0 == Defect::NoFence { current_fence.unwrap_or(fence) } else { fence };
                 state.apply([Entry::Returned { target: target(n), fence, runs: None }]);
                 if self.0 == Defect::TrustsHolder {
                     state.apply([Entry::Back { target: target(n), fence }]);
@@ -279,12 +279,12 @@
                 state.holders[n] = Holder::Working(round, last.phase(n)?.0);
             }
             Step::Repair(n) => state.true_states[n] = TrueState::Up,
-            Step::Start(n, well) => {
+            Step::Start(n, works) => {
                 let Holder::Working(round, fence) = last.holders[n] else { return None };
-                state.true_states[n] = if well { TrueState::Up } else { TrueState::Broken };
+                state.true_states[n] = if works { TrueState::Up } else { TrueState::Broken };
                 state.messages.insert(Message::Returned(n, fence));
-                let more = round + 1 < WANTED[n];
-                state.holders[n] = if more { Holder::Wants(round + 1) } else { Holder::Done };
+                let wants_another = round + 1 < WANTED[n];
+                state.holders[n] = if wants_another { Holder::Wants(round + 1) } else { Holder::Done };
             }
             Step::Die(n) => state.holders[n] = Holder::Dead,
             Step::Crash => state.true_states[2] = TrueState::Crashed,
