--- a/crates/sandgap/src/discovery/lines.rs
+++ b/crates/sandgap/src/discovery/lines.rs
@@ -14,10 +14,13 @@
 
 use super::timing::{ANSWER_TIMEOUT, CALL_TIMEOUT, CONNECT_TIMEOUT};
 
-/// Limit of a list and of an incomplete line, in bytes. A thousand backends take 200 kB.
+/// Maximum size in bytes of the buffer in which a response body is read, and of a list that is assembled from several lines.
+/// A thousand backends take 200 kB.
 pub(super) const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Opens a watch for changes after a version; [`super::timing`] has the timeouts.
+/// Opens a watch: a call to discovery that stays open and delivers changes line by line. `after` is the last version that
+/// is known, if any. `pushed` says that lists are pushed by a local agent, for which other timeouts
+/// apply; see [`super::timing`].
 pub(super) async fn open_watch(
     address: SocketAddr, after: Option<u64>, pushed: bool,
 ) -> Result<Lines, String> {
@@ -35,28 +38,29 @@
     timeout(answer_timeout, call).await.unwrap_or_else(|_| Err("no answer".into()))
 }
 
-/// A response body, line by line.
+/// A response body that is read line by line, or as a whole with [`Lines::rest`].
 pub(super) struct Lines {
     /// When the call began.
     pub(super) began: Instant,
     body: hyper::body::Incoming,
+    /// Bytes that were received and not returned yet, at most [`MAX_LIST_BYTES`].
     buffer: Vec<u8>,
-    /// Closes the connection when the response is dropped.
+    /// Task that drives the connection; dropping it closes the connection.
     _connection: JoinSet<()>,
     _sender: http1::SendRequest<Empty<Bytes>>,
 }
 
 impl Lines {
-    /// The next line; `None` at the end.
+    /// The next line, without its line end; `None` at the end of the body, where an incomplete line is dropped.
     pub(super) async fn next(&mut self) -> Result<Option<Vec<u8>>, String> {
-        let mut seen = 0;
+        let mut searched = 0;
         loop {
-            if let Some(at) = self.buffer[seen..].iter().position(|b| *b == b'\n') {
-                let mut line: Vec<u8> = self.buffer.drain(..=seen + at).collect();
+            if let Some(at) = self.buffer[searched..].iter().position(|b| *b == b'\n') {
+                let mut line: Vec<u8> = self.buffer.drain(..=searched + at).collect();
                 line.pop();
                 return Ok(Some(line));
             }
-            seen = self.buffer.len();
+            searched = self.buffer.len();
             if !self.read_frame().await? {
                 return Ok(None);
             }
@@ -69,11 +73,12 @@
         Ok(self.buffer)
     }
 
+    /// Reads more of the body into the buffer; `false` at its end.
     async fn read_frame(&mut self) -> Result<bool, String> {
         let Some(frame) = self.body.frame().await else { return Ok(false) };
         if let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() {
             if self.buffer.len() + data.len() > MAX_LIST_BYTES {
-                return Err("a line is longer than the limit".into());
+                return Err("a line or list is longer than the limit of the buffer".into());
             }
             self.buffer.extend_from_slice(&data);
         }
@@ -81,7 +86,7 @@
     }
 }
 
-/// Requests the list and returns its body.
+/// Requests the list and returns the response, whose body has not been read yet.
 pub(super) async fn get(address: SocketAddr, query: &str) -> Result<Lines, String> {
     let began = Instant::now();
     let stream = TcpStream::connect(address).await.map_err(|e| e.to_string())?;
@@ -95,7 +100,7 @@
         http1::handshake(TokioIo::new(SharedStream::from(stream))).await.map_err(|e| e.to_string())?;
     let mut task = JoinSet::new();
     task.spawn_local(async move {
-        let _ = connection.await; // an error shows in the body
+        let _ = connection.await; // an error of the connection also ends the request or its body with an error
     });
     let separator = if query.is_empty() { "" } else { "?" };
     let request = Request::get(format!("/discovery/hosts{separator}{query}"))
--- a/crates/sandgap/src/front/receive.rs
+++ b/crates/sandgap/src/front/receive.rs
@@ -15,11 +15,12 @@
 /// A received body.
 pub(super) struct Received {
     pub(super) body: Payload,
-    /// The body was waited for, so the client's timeout counts from now.
+    /// The proxy had to wait for bytes of the body, so the client's timeout counts from the last bytes received, not from
+    /// the arrival of the request's head.
     pub(super) has_waited: bool,
 }
 
-/// The status and text for a client whose body failed.
+/// The status and text with which a request is answered whose body could not be received.
 pub(super) fn error_response(fault: BodyFault) -> (StatusCode, &'static str) {
     match fault {
         BodyFault::TooLong => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
@@ -28,8 +29,9 @@
     }
 }
 
-/// Receives what is needed before a request can be forwarded. The caller has refused bodies whose declared length is
-/// too large.
+/// Receives as much of the body as is needed before the request can be forwarded: all of a body of up to
+/// [`body::MAX_BUFFERED_BODY`] bytes, or a little more than that of a longer one, whose rest is read while it is forwarded.
+/// The caller has refused bodies whose declared length is too large.
 pub(super) async fn receive(
     mut incoming: Incoming, read_ahead: &Rc<ReadAheadBudget>, view: &Rc<View>,
 ) -> Result<Received, BodyFault> {
@@ -37,14 +39,15 @@
     let mut pace = Pace::default();
     let mut chunks: Vec<Bytes> = Vec::new();
     loop {
-        let until = pace.blocked(Instant::now());
-        let frame = timeout_at(until, incoming.frame()).await.map_err(|_| BodyFault::TooSlow)?;
+        let wait_until = pace.blocked(Instant::now());
+        let frame = timeout_at(wait_until, incoming.frame()).await.map_err(|_| BodyFault::TooSlow)?;
         let Some(frame) = frame else {
             return Ok(Received { body: Payload::Short(body::join(chunks)), has_waited: pace.has_waited() });
         };
         let Ok(data) = frame.map_err(|_| BodyFault::Malformed)?.into_data() else { continue };
         pace.received(Instant::now(), data.len());
         chunks.push(data);
+        // `passed` is the number of bytes received so far.
         if pace.passed() > body::MAX_BUFFERED_BODY as u64 {
             let (budget, view) = (read_ahead.clone(), view.clone());
             let upload = Upload::new(body::join(chunks), incoming, pace, length, budget, view);
--- a/crates/sandgap/src/upstream/pool/tests.rs
+++ b/crates/sandgap/src/upstream/pool/tests.rs
@@ -10,24 +10,26 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[test]
-fn a_connection_counts_for_as_long_as_its_socket_is_open() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+fn a_connection_counts_as_in_use_for_as_long_as_its_socket_is_open() {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build a runtime");
     let scenario = async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let endpoint = Endpoint::new(1, listener.local_addr().expect("an address"), 0.0);
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a loopback port");
+        let endpoint = Endpoint::new(1, listener.local_addr().expect("get the listener's address"), 0.0);
         let times = Connections { dial_timeout: 5000.0, idle_close: 30_000.0 };
         let upstreams = Upstreams::new(&times, 4, Diagnostics::new(None), Rc::default());
-        let connection = upstreams.connection(&endpoint).await.expect("a connection");
+        let connection = upstreams.connection(&endpoint).await.expect("connect to the listener");
         let (backend, _) = listener.accept().await.expect("the connection is accepted");
         upstreams.return_idle(&endpoint, connection, Duration::ZERO);
         assert_eq!(upstreams.in_use(), 1);
         drop(backend); // the backend closes it while it is idle
-        let has_ended = |u: &Upstreams| u.idle.borrow()[&1].iter().all(|i| i.connection.driver.is_finished());
+        let has_ended =
+            |u: &Upstreams| u.idle.borrow()[&1].iter().all(|idle| idle.connection.driver.is_finished());
         while !has_ended(&upstreams) {
             sleep(Duration::from_millis(1)).await;
         }
         assert_eq!(upstreams.in_use(), 1, "the pool still holds its socket");
-        upstreams.sweep();
+        upstreams.sweep(); // drops connections that the backend has closed
         assert_eq!(upstreams.in_use(), 0);
     };
     LocalSet::new().block_on(&runtime, async {
