--- a/crates/sandgap-driver/src/core.rs
+++ b/crates/sandgap-driver/src/core.rs
@@ -210,8 +210,8 @@
     }
 }
 
-/// Drives a policy with incoming events. The size of its maps is bounded by the number of requests that the caller admits
-/// and the number of listed backends.
+/// Drives a policy with incoming events. The size of its maps is bounded by the number of requests that the caller
+/// admits and the number of listed backends.
 pub struct Core<P, O: Effects> {
     policy: P,
     /// Performs the effects.
@@ -382,8 +382,8 @@
     }
 
     /// The last byte of a long request was received from its client at `at`. The client waits [`Arrival::upload`] from then
-    /// on. If the request is being forwarded, its deadline is set accordingly at once; if it is still queued, its first
-    /// deadline applies until forwarding starts.
+    /// on. If the request is being forwarded, its deadline is set accordingly at once; if it is queued, it keeps the
+    /// deadline that it has until forwarding starts.
     pub fn received(&mut self, id: RequestId, at: Time) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         pending.received = Some(at);
@@ -409,8 +409,8 @@
         }
     }
 
-    /// Forwarding of a long request has ended. `is_consumed`: it can't be sent again, see [`Effects::is_body_consumed`], and
-    /// the policy is told so by a budget of 0.
+    /// Forwarding of a long request has ended. `is_consumed`: it can't be sent again, see [`Effects::is_body_consumed`],
+    /// and the policy is told so by a budget of 0.
     fn end_upload(&mut self, now: Time, id: RequestId, is_consumed: bool) {
         let Some(last) = self.renew_deadline(now, id) else { return };
         if let Some(pending) = self.pending.get_mut(&id) {
@@ -482,9 +482,9 @@
         self.apply_list(now, scope, hosts);
     }
 
-    /// A list, or changes to it, that may be older than what is known. Backends that it closes are closed at once. A recently
-    /// closed process of a backend is reopened only [`crate::REOPEN_AFTER`] after its closing, when no discovery service
-    /// can lag behind any more.
+    /// A list, or changes to it, that may be older than what is known. Backends that it closes are closed at once. A
+    /// recently closed process of a backend is reopened only [`crate::REOPEN_AFTER`] after its closing, when no discovery
+    /// service can lag behind any more.
     pub fn uncertain_list(&mut self, now: Time, scope: Scope, hosts: Vec<Host>) {
         let hosts = hosts.into_iter().map(|host| self.adjust_uncertain_entry(now, host)).collect();
         self.apply_list(now, scope, hosts);
--- a/crates/sandgap-driver/src/endpoint.rs
+++ b/crates/sandgap-driver/src/endpoint.rs
@@ -131,7 +131,8 @@
         self.open.get()
     }
 
-    /// Opens or closes the endpoint to new attempts. Owners of resources for it are notified separately, see [`crate::Effects::retire`].
+    /// Opens or closes the endpoint to new attempts. Owners of resources for it are notified separately, see
+    /// [`crate::Effects::retire`].
     pub fn set_open(&self, open: bool) {
         self.open.set(open);
     }
--- a/crates/sandgap-fleet/tests/link.rs
+++ b/crates/sandgap-fleet/tests/link.rs
@@ -84,7 +84,8 @@
     });
 }
 
-/// Connects to the proxy "b" and performs the handshake without [`Links`]. Returns the socket, and what seals further frames.
+/// Connects to the proxy "b" and performs the handshake without [`Links`]. Returns the socket, and what seals further
+/// frames.
 async fn connect_raw(address: SocketAddr) -> (TcpStream, sandgap_fleet::frame::Sealer) {
     let own_hello = Hello { nonce: [5; 16], name: "hand".into() };
     let mut stream = TcpStream::connect(address).await.expect("connect to the proxy");
--- a/crates/sandgap-rollout/src/ledger.rs
+++ b/crates/sandgap-rollout/src/ledger.rs
@@ -586,8 +586,8 @@
         Ok(Verdict::Done)
     }
 
-    /// Halts all grants. Targets that are still draining return at once. A drained target belongs to its holder and may be stopped, so
-    /// it counts as out until it is observed back.
+    /// Halts all grants. Targets that are still draining return at once. A drained target belongs to its holder and may be
+    /// stopped, so it counts as out until it is observed back.
     fn halt(&mut self, by: String, why: String) -> Verdict {
         let grants = self.permits.values_mut().filter_map(|permit| permit.grant.as_mut());
         for phase in grants.flat_map(|(_, phases)| phases.values_mut()).filter(|p| **p == Phase::Granted) {
--- a/crates/sandgap-rollout/src/limits.rs
+++ b/crates/sandgap-rollout/src/limits.rs
@@ -6,8 +6,8 @@
 pub const MAX_BOUNDS: usize = 16;
 /// Maximum number of known targets: all proxies and backends of a large fleet.
 pub const MAX_TARGETS: usize = 16_384;
-/// Maximum number of permits, waiting and granted together. Each belongs to one task of maintenance that is in progress or
-/// about to start.
+/// Maximum number of permits, waiting and granted together. Each belongs to one task of maintenance that is in progress
+/// or about to start.
 pub const MAX_PERMITS: usize = 128;
 /// Maximum number of targets of one permit: a zone of a large fleet. They fit into one log entry.
 pub const MAX_PERMIT_TARGETS: usize = 1024;
@@ -33,6 +33,7 @@
 pub const MAX_SEEN_CHANGES: usize = 512;
 /// How long a target must be observed healthy without interruption before it counts as healthy, because it may flap.
 pub const STABLE_TIME: Duration = Duration::from_secs(2);
-/// A silent proxy may have requests in flight until its lease, then the longest deadline of a class, and then this time have
-/// passed since its last report. This time is for a request to end at the proxy once its deadline has been reached.
+/// A silent proxy may have requests in flight until its lease, then the longest deadline of a class, and then this time
+/// have passed since its last report. This time is for a request to end at the proxy once its deadline has been
+/// reached.
 pub const REQUEST_END_GRACE: Duration = Duration::from_secs(1);
--- a/crates/sandgap-rollout/src/release_controller.rs
+++ b/crates/sandgap-rollout/src/release_controller.rs
@@ -1,8 +1,8 @@
 //! Leader logic for releases: requests the permits that are due, compares targets with and without the release, and
 //! proposes to advance, halt or roll back a release.
 //!
-//! The log entries are named differently: [`Entry::Hold`] halts one release, [`Entry::Halt`] halts all grants of permits,
-//! and [`Entry::TurnBack`] starts the rollback of a release.
+//! The log entries are named differently: [`Entry::Hold`] halts one release, [`Entry::Halt`] halts all grants of
+//! permits, and [`Entry::TurnBack`] starts the rollback of a release.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -162,8 +162,8 @@
 }
 
 impl WaveState {
-    /// Adds the attempts that each proxy has counted since its last report: those at the cohort to `new`, those at all other
-    /// backends to `old`.
+    /// Adds the attempts that each proxy has counted since its last report: those at the cohort to `new`, those at all
+    /// other backends to `old`.
     fn count_at_backends(&mut self, cohort_id: u64, reports: &BTreeMap<&String, News>) {
         for (name, news) in reports {
             let Some((current_id, at_cohort)) = news.cohort.filter(|(id, _)| *id == cohort_id) else {
--- a/crates/sandgap/src/discovery/lines.rs
+++ b/crates/sandgap/src/discovery/lines.rs
@@ -14,13 +14,13 @@
 
 use super::timing::{ANSWER_TIMEOUT, CALL_TIMEOUT, CONNECT_TIMEOUT};
 
-/// Maximum size in bytes of the buffer in which a response body is read, and of a list that is assembled from several lines.
-/// A thousand backends take 200 kB.
+/// Maximum size in bytes of the buffer in which a response body is read, and of a list that is assembled from several
+/// lines. A thousand backends take 200 kB.
 pub(super) const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Opens a watch: a call to discovery that stays open and delivers changes line by line. `after` is the last version that
-/// is known, if any. `pushed` says that lists are pushed by a local agent, for which other timeouts
-/// apply; see [`super::timing`].
+/// Opens a watch: a call to discovery that stays open and delivers changes line by line. `after` is the last version
+/// that is known, if any. `pushed` says that lists are pushed by a local agent, for which other timeouts apply; see
+/// [`super::timing`].
 pub(super) async fn open_watch(
     address: SocketAddr, after: Option<u64>, pushed: bool,
 ) -> Result<Lines, String> {
--- a/crates/sandgap/src/front/receive.rs
+++ b/crates/sandgap/src/front/receive.rs
@@ -30,8 +30,8 @@
 }
 
 /// Receives as much of the body as is needed before the request can be forwarded: all of a body of up to
-/// [`body::MAX_BUFFERED_BODY`] bytes, or a little more than that of a longer one, whose rest is read while it is forwarded.
-/// The caller has refused bodies whose declared length is too large.
+/// [`body::MAX_BUFFERED_BODY`] bytes, or a little more than that of a longer one, whose rest is read while it is
+/// forwarded. The caller has refused bodies whose declared length is too large.
 pub(super) async fn receive(
     mut incoming: Incoming, read_ahead: &Rc<ReadAheadBudget>, view: &Rc<View>,
 ) -> Result<Received, BodyFault> {
--- a/tests/change.rs
+++ b/tests/change.rs
@@ -10,8 +10,8 @@
     (Harness::new(settings.clone(), servers), settings)
 }
 
-/// A change to new settings. `live` says for each class whether it still accepts requests; `fresh` lists the new classes, each
-/// with the class whose learned values carry over, if any.
+/// A change to new settings. `live` says for each class whether it still accepts requests; `fresh` lists the new
+/// classes, each with the class whose learned values carry over, if any.
 fn change(settings: Settings, live: Vec<bool>, fresh: Vec<(usize, Option<usize>)>) -> Event {
     let fresh = fresh.into_iter().map(|(id, previous)| (ClassId(id), previous.map(ClassId))).collect();
     Event::Settings(Box::new(Change { settings, live, fresh }))
@@ -26,8 +26,8 @@
 fn an_open_request_keeps_the_rules_under_which_it_arrived() {
     let (mut harness, mut settings) = harness();
     assert_eq!(sends(&harness.give(request(1, 0, 2000.0))), 1);
-    // While request 1 of class 0 (safe) is open, class 3 (unsafe) replaces classes 0 to 2, and a request of it gets only one
-    // attempt.
+    // While request 1 of class 0 (safe) is open, class 3 (unsafe) replaces classes 0 to 2, and a request of it gets only
+    // one attempt.
     settings.classes.push(class(Effect::Unsafe, 800.0));
     settings.limits.max_attempts = 1;
     harness.give(change(settings, vec![false, false, false, true], vec![(3, None)]));
