--- a/crates/sandgap-lab/src/agree/faults.rs
+++ b/crates/sandgap-lab/src/agree/faults.rs
@@ -42,12 +42,13 @@
     Mute,
     /// Each process reaches only its two neighbours in a ring.
     Ring,
-    /// A majority of the voters is cut off from every other process.
+    /// All links of a majority of the voters are cut, those within it included.
     Majority,
 }
 
 impl PartitionShape {
-    const ALL: [PartitionShape; 7] = [
+    /// All but `Majority`, which is only used when asked for.
+    const DRAWN_SHAPES: [PartitionShape; 7] = [
         PartitionShape::Halves,
         PartitionShape::Bridge,
         PartitionShape::Alone,
@@ -66,7 +67,7 @@
     }
     let nodes = setup.voters + setup.observers;
     if let Some(partition) = setup.partition {
-        // A single partition from 4 s until the end of the fault phase, and no other fault.
+        // A single partition from 4 s on, and no other fault; the simulation heals it at the end of the fault phase.
         return vec![(4 * SECOND, Fault::Partition(cut_links(setup, partition, nodes, rng)))];
     }
     let mut at = SECOND;
@@ -82,7 +83,8 @@
             6 | 7 => Fault::Pause(if rng.random() { node } else { voter }, span),
             8 => Fault::Kill(node, span),
             9 => Fault::Kill(voter, span),
-            // At most one disk is lost: lost disks stay a minority, and the others have time to rebuild it.
+            // At most one disk is lost: a minority of three or more voters, and the others have time to rebuild it. Further
+            // draws stall a disk instead.
             10 if lost_disks == 0 => {
                 lost_disks += 1;
                 Fault::LoseDisk(voter, span)
@@ -100,9 +102,10 @@
     faults
 }
 
-/// Draws a partition of a random shape, or of the setup's shape.
+/// Draws a partition of a random shape. A shape in the setup would take precedence, but `draw_faults` handles that case
+/// itself.
 fn draw_partition(setup: &Setup, nodes: usize, rng: &mut Stream) -> Vec<(usize, usize)> {
-    let shape = PartitionShape::ALL[rng.random_range(0..PartitionShape::ALL.len())];
+    let shape = PartitionShape::DRAWN_SHAPES[rng.random_range(0..PartitionShape::DRAWN_SHAPES.len())];
     cut_links(setup, setup.partition.unwrap_or(shape), nodes, rng)
 }
 
--- a/crates/sandgap-lab/src/file.rs
+++ b/crates/sandgap-lab/src/file.rs
@@ -1,4 +1,5 @@
-//! The experiment file: its format, and checks that report all of its errors at once.
+//! The experiment file: its format, and checks in three stages (syntax, keys and types, values). The first stage that
+//! fails reports all problems that it finds.
 
 use std::path::{Path, PathBuf};
 
@@ -6,7 +7,6 @@
 use serde::{Deserialize, Serialize};
 use toml::de::{DeTable, DeValue};
 use toml::{Table, Value};
-use wharfhitch as module;
 
 use crate::defects::Defect;
 use crate::limits::{FILE, PROBLEMS, PROXIES, RUNS, SECONDS, SERVERS};
@@ -22,7 +22,7 @@
 pub enum FileError {
     /// It can't be read.
     #[error("{0}: {1}")]
-    Unread(PathBuf, std::io::Error),
+    Unreadable(PathBuf, std::io::Error),
     /// It is larger than [`FILE`] bytes.
     #[error("{0}: {1} bytes are more than {FILE}")]
     Large(PathBuf, u64),
@@ -139,11 +139,11 @@
     pub most_held: usize,
     /// Attempts per request, at most.
     pub max_attempts: u32,
-    /// The cost of a crossing between zones, as a part of a mean request's worth.
+    /// The cost of a crossing between zones, as a multiple of a mean request's worth.
     pub crossing_price: f64,
     /// The worth of a request beyond its tenant's allowance, as a part of its full worth, 0 to 1.
     pub over_share_worth: f64,
-    /// How long the front still sends to a proxy that was killed, ms.
+    /// How long the front, the load balancer in front of the proxies, still sends to a proxy that was killed, ms.
     pub front_notices_ms: f64,
     /// A defect that makes the driver break a rule, to show that the checker finds it.
     pub defect: Option<Defect>,
@@ -195,7 +195,7 @@
     /// Each server's speed is drawn from the build's speed, plus or minus this part of it.
     #[serde(default)]
     pub spread: f64,
-    /// The size of each in the server list; cores times speed where it is left out.
+    /// The size of each in the server list; the build's cores times its speed, before `spread`, where it is left out.
     #[serde(default)]
     pub rating: Option<f64>,
     /// Servers per cell; those of a cell drop each other's duplicates.
@@ -228,7 +228,7 @@
     /// Whether it may run more than once.
     pub effect: EffectKind,
     /// For a keyed class, how long a cell drops duplicates, ms.
-    #[serde(default = "window")]
+    #[serde(default = "default_window_ms")]
     pub window_ms: f64,
     /// Target response time, ms.
     pub aim_ms: f64,
@@ -244,7 +244,7 @@
     pub work: Law,
 }
 
-fn window() -> f64 {
+fn default_window_ms() -> f64 {
     2500.0
 }
 
@@ -293,7 +293,7 @@
     Never,
     /// Only after a refusal or if no proxy accepted, after the stated delay (or a default) and some random extra.
     Well,
-    /// After anything but an answer, after 1 ms.
+    /// After any end but an answer or the client's own disconnect, after 1 ms.
     Badly,
 }
 
@@ -359,7 +359,7 @@
             checks.within(&format!("{at}.steps"), f64::from(steps), 1.0, 1000.0);
         }
         if self.ratio && !(self.from > Some(0.0) && self.to > Some(0.0)) {
-            checks.wrong(&format!("{at}.ratio"), "equal ratios need a range above 0".into());
+            checks.wrong(&format!("{at}.ratio"), "equal ratios need from and to above 0".into());
         }
     }
 }
@@ -376,21 +376,22 @@
 /// Reads an experiment file and returns all points, in the order of the sweeps; the last sweep varies fastest.
 ///
 /// # Errors
-/// If the file can't be read, or all problems of its contents (at most [`PROBLEMS`]).
+/// If the file can't be read, or all problems of the first stage that fails: every syntax error, or at most
+/// [`PROBLEMS`] invalid keys or values.
 pub fn read(path: &Path) -> Result<Vec<Point>, FileError> {
-    let unread = |e| FileError::Unread(path.to_owned(), e);
-    let size = std::fs::metadata(path).map_err(unread)?.len();
+    let unreadable = |e| FileError::Unreadable(path.to_owned(), e);
+    let size = std::fs::metadata(path).map_err(unreadable)?.len();
     if size > FILE {
         return Err(FileError::Large(path.to_owned(), size));
     }
-    let text = std::fs::read_to_string(path).map_err(unread)?;
+    let text = std::fs::read_to_string(path).map_err(unreadable)?;
     parse(&text).map_err(|problems| FileError::Wrong(path.to_owned(), problems))
 }
 
 /// Parses the text of an experiment file; see [`read`].
 ///
 /// # Errors
-/// All problems of the text, at most [`PROBLEMS`].
+/// All problems of the first stage that fails: every syntax error, or at most [`PROBLEMS`] invalid keys or values.
 pub fn parse(text: &str) -> Result<Vec<Point>, Vec<Problem>> {
     let (spanned, errors) = DeTable::parse_recoverable(text);
     if !errors.is_empty() {
@@ -463,8 +464,8 @@
     set.iter().map(|(k, v)| format!("{k} = {}", value_text(v))).collect::<Vec<_>>().join(", ")
 }
 
-/// Deserializes an experiment. On failure it returns every key that is unknown, missing or of a wrong type: it removes
-/// each bad key and tries again.
+/// Deserializes an experiment. On failure it returns the keys that are unknown, missing or of a wrong type: it removes
+/// each bad key and tries again, until a key can't be removed (such as a missing one) or [`PROBLEMS`] are found.
 fn deserialize(table: Table) -> Result<Experiment, Vec<(String, String)>> {
     let (mut at, mut found) = (Value::Table(table), Vec::new());
     loop {
@@ -496,7 +497,7 @@
     }
 }
 
-/// A deserializer's message; a list of expected names is replaced by the nearest of them.
+/// A deserializer's message; a list of expected names is replaced by the nearest of them, if one is near.
 fn with_suggestion(message: &str) -> String {
     let first = message.lines().next().unwrap_or(message);
     let Some((what, expected)) = first.split_once(", expected ") else { return first.to_owned() };
@@ -513,7 +514,7 @@
     key.replace('[', ".").replace(']', "").split('.').filter(|p| !p.is_empty()).map(str::to_owned).collect()
 }
 
-/// Removes a key; whether there was one to remove.
+/// Removes a key of a table, or overwrites an entry of a list with another one; returns whether anything changed.
 fn remove_key(at: &mut Value, key: &str) -> bool {
     let parts = key_parts(key);
     let Some((last, path)) = parts.split_last() else { return false };
@@ -665,10 +666,10 @@
     }
 
     /// The settings of the decision library at proxy number `me`.
-    pub fn settings(&self, me: u32) -> module::Settings {
+    pub fn settings(&self, me: u32) -> wharfhitch::Settings {
         let f = &self.fleet;
-        let zone = (!f.zones.is_empty()).then(|| module::ZoneId(me % f.zones.len() as u32));
-        module::Settings {
+        let zone = (!f.zones.is_empty()).then(|| wharfhitch::ZoneId(me % f.zones.len() as u32));
+        wharfhitch::Settings {
             proxy_index: me,
             proxies: f.proxies,
             zone,
@@ -676,23 +677,23 @@
             tenants: self
                 .tenants
                 .iter()
-                .map(|t| module::Tenant { allowance_per_s: t.allowance_per_s })
+                .map(|t| wharfhitch::Tenant { allowance_per_s: t.allowance_per_s })
                 .collect(),
             over_share_worth: f.over_share_worth,
             worth_by_work: false,
             discovery: if self.discovery.asked {
-                module::Discovery::OnRequest
+                wharfhitch::Discovery::OnRequest
             } else {
-                module::Discovery::Pushed
+                wharfhitch::Discovery::Pushed
             },
             rating: match f.rating {
-                RatingKind::Size => module::Rating::Size,
-                RatingKind::Silent => module::Rating::Silent,
+                RatingKind::Size => wharfhitch::Rating::Size,
+                RatingKind::Silent => wharfhitch::Rating::Silent,
             },
             warm_keys: false,
             messages_allowed: f.may_tell && f.proxies > 1,
-            prices: module::Prices { cross_zone: f.crossing_price },
-            limits: module::Limits {
+            prices: wharfhitch::Prices { cross_zone: f.crossing_price },
+            limits: wharfhitch::Limits {
                 start_capacity: self.cold.start,
                 cold_ms: self.cold.warm_ms,
                 fall_multiple: self.cold.multiple,
@@ -728,23 +729,25 @@
         self.work.check(&format!("{at}.work"), checks);
     }
 
-    fn settings(&self) -> module::Class {
-        module::Class {
+    fn settings(&self) -> wharfhitch::Class {
+        wharfhitch::Class {
             aim: self.aim_ms,
             deadline: self.deadline_ms,
             aim_stretch: 0.0,
             worth: self.worth,
             late_worth: 0.0,
-            effect: self.module_effect(),
+            effect: self.library_effect(),
         }
     }
 
     /// The effect as the decision library's type.
-    pub fn module_effect(&self) -> module::Effect {
+    pub fn library_effect(&self) -> wharfhitch::Effect {
         match self.effect {
-            EffectKind::Safe => module::Effect::Safe,
-            EffectKind::Keyed => module::Effect::Keyed { group: module::Group::Cell, window: self.window_ms },
-            EffectKind::Unsafe => module::Effect::Unsafe,
+            EffectKind::Safe => wharfhitch::Effect::Safe,
+            EffectKind::Keyed => {
+                wharfhitch::Effect::Keyed { group: wharfhitch::Group::Cell, window: self.window_ms }
+            }
+            EffectKind::Unsafe => wharfhitch::Effect::Unsafe,
         }
     }
 
--- a/crates/sandgap-lab/src/fleet.rs
+++ b/crates/sandgap-lab/src/fleet.rs
@@ -1,6 +1,7 @@
-//! Simulates a whole fleet in virtual time: clients, a front, proxies that run the daemon's own driver core and the
-//! real decision library, servers, discovery, the network and faults. A run uses one thread, one event calendar and
-//! one random stream per component.
+//! Simulates a whole fleet in virtual time: clients, a front (the load balancer in front of the proxies), proxies that
+//! run the daemon's own driver core with the real decision library or a baseline policy, servers, discovery, the
+//! network and faults. A run uses one thread, one event calendar, and separate random streams for each component, task
+//! and think time.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -25,7 +26,7 @@
 /// Unix time at which virtual time is zero, ms. Any value works as long as server start times are above 0.
 const UNIX_EPOCH_OFFSET_MS: Millis = 1e12;
 /// Interval between two searches for requests whose client has given up.
-const SWEEP_INTERVAL: Nanos = 50 * MS;
+const EXPIRY_INTERVAL: Nanos = 50 * MS;
 /// How long past its deadline a client still listens, so that a late answer is recorded as late and not as none.
 const LATE_ANSWER_WAIT: Nanos = 500 * MS;
 /// Time after a drain notice in which attempts may still be sent, as the platform states it, µs.
@@ -42,7 +43,9 @@
     )]
     Overrun(u64),
     /// The run needs more servers (or proxy processes) than the records can number.
-    #[error("more than {SERVERS} servers over the run; shorten it or lower the part that faults replace")]
+    #[error(
+        "more than {SERVERS} servers or 65535 proxy processes over the run; shorten it, or let faults replace fewer servers or restart fewer proxies"
+    )]
     Servers,
     /// A recorded load names a class or tenant that the experiment does not define.
     #[error("the recorded load names {0} '{1}', which the experiment does not have")]
@@ -106,31 +109,56 @@
     pub lines: Vec<(Nanos, u32, String)>,
 }
 
-/// An event of the calendar; the numbers are those of requests, attempts, servers, proxies and processes.
+/// An event of the calendar.
 enum Event {
+    /// The next request of the load arrives.
     Arrival,
+    /// A user of a closed load submits its next task: the user.
     UserReady(u32),
+    /// A client retries: the number of its task in [`Fleet::retries`].
     Retry(u32),
+    /// The first byte of an attempt is about to be sent: the attempt.
     FirstByte(u32),
+    /// An attempt reaches its server: the attempt.
     Delivery(u32),
+    /// A server completes a request: the server and the stamp of the announcement, to detect an outdated one.
     Completion(u32, u32),
+    /// A cold server's capacity grows by a step: the server.
     WarmStep(u32),
+    /// The end of an attempt reaches its proxy: the attempt.
     AttemptEnd(u32),
+    /// A proxy abandons an attempt: the attempt.
     AttemptTimeout(u32),
+    /// A timer of a proxy's core is due: the proxy and its process.
     Timer(u16, u16),
+    /// A proxy reads a request: the request.
     ReadRequest(u32),
+    /// A client disconnects: the request.
     ClientLeaves(u32),
+    /// A proxy learns that a client has disconnected: the proxy, its process and the request.
     ClientGone(u16, u16, u32),
+    /// A defect sends an answer after the deadline: the request and its attempt that was answered, `NOT_OF_CORE` for
+    /// none.
     LateAnswer(u32, u32),
+    /// A defect sends a request once more: the attempt.
     Resend(u32),
+    /// A fault action is due: its index in the plan's steps.
     PlanStep(u32),
+    /// A change of the server list reaches a proxy: the proxy, its process and the version of the list.
     ListChange(u16, u16, u32),
+    /// The present whole server list reaches a proxy: the proxy, its process and the version that it is marked with,
+    /// `u32::MAX` for the present one.
     FullList(u16, u16, u32),
+    /// A message of another proxy arrives: the receiving proxy and the datagram.
     Datagram(u16, u32),
+    /// A proxy stops accepting requests, since it restarts: the proxy and its process.
     ProxyStop(u16, u16),
+    /// A proxy starts a new process: the proxy.
     ProxyStart(u16),
+    /// The front adds a proxy to its rotation or removes it: the proxy and whether it is up.
     FrontNotices(u16, bool),
-    Sweep,
+    /// Requests whose client has given up are ended.
+    EndExpired,
 }
 
 /// A client's request that is still unanswered.
@@ -150,11 +178,12 @@
     class: u16,
     tenant: u16,
     first_try: Nanos,
-    tries: u32,
+    /// Retries so far, by the client or by [`Defect::Resends`](crate::defects::Defect::Resends).
+    retries: u32,
     user: u32,
     work: f64,
     patience: Nanos,
-    /// The client disconnects this long after each try, if it does.
+    /// The client disconnects this long after the start of each try, unless the try ends earlier; `None` if it does not.
     leaves_after: Option<Nanos>,
 }
 
@@ -247,13 +276,13 @@
     discovery_silent: bool,
     /// Part of the datagrams that is lost at present.
     loss: f64,
-    /// Pairs of a proxy and a server: new attempts of the one at the other are lost on the way.
+    /// Pairs of a proxy and a server: the proxy's new attempts at the server are lost.
     partitions: Vec<(u32, u32)>,
     processes: u16,
     tasks: u32,
     cells: u16,
-    /// Violations that the driver core reported.
-    odd: Vec<&'static str>,
+    /// Kinds of violations that the driver core reported, each once.
+    violations: Vec<&'static str>,
     source: Source,
     network_rng: Stream,
     front_rng: Stream,
@@ -271,7 +300,8 @@
     longest_deadline: Nanos,
 }
 
-/// Runs a plan to its end. `timed` also measures the wall time of decisions, which is no part of a result.
+/// Runs a plan to its end. `timed` also measures the wall time of decisions, which is returned but kept out of the
+/// reproducible results.
 ///
 /// # Errors
 /// If the run has to be aborted; see [`RunError`].
@@ -279,9 +309,9 @@
     let mut fleet = Fleet::new(plan, timed, trace)?;
     fleet.run_events()?;
     let decided = fleet.timing.as_ref().map(|t| t.get());
-    let Fleet { rules, measures, odd, .. } = fleet;
+    let Fleet { rules, measures, violations, .. } = fleet;
     let verdict = rules.verdict();
-    Ok(Outcome { measures, verdict, odd, decided })
+    Ok(Outcome { measures, verdict, violations, decided })
 }
 
 /// The cumulative distribution of shares, normalised to 1.
--- a/crates/sandgap-lab/src/fleet/attempts.rs
+++ b/crates/sandgap-lab/src/fleet/attempts.rs
@@ -38,8 +38,8 @@
                     Command::Violation(violation) => {
                         let counts =
                             self.plan.policy == PolicyKind::Sandgap || violation == Violation::SendOfUnknown;
-                        if counts && !self.odd.contains(&violation.name()) {
-                            self.odd.push(violation.name());
+                        if counts && !self.violations.contains(&violation.name()) {
+                            self.violations.push(violation.name());
                         }
                     }
                 }
@@ -366,7 +366,7 @@
     /// [`Defect::Resends`]: sends the request again instead of reporting the end of an attempt.
     fn resend_instead(&mut self, now: Nanos, n: u32) -> bool {
         let Some(a) = self.attempts.get_mut(n) else { return false };
-        let Some(r) = self.requests.get(a.request).filter(|r| r.task.tries < MAX_RESENDS) else {
+        let Some(r) = self.requests.get(a.request).filter(|r| r.task.retries < MAX_RESENDS) else {
             return false;
         };
         if now >= r.deadline {
@@ -375,7 +375,7 @@
         a.reported = true;
         let (request, number, p, until, work) = (a.request, a.number, a.proxy, a.until, a.work);
         if let Some(r) = self.requests.get_mut(request) {
-            r.task.tries += 1;
+            r.task.retries += 1;
         }
         self.remove_if_over(n);
         self.send_past_core(now, request, number, p, until, work)
--- a/crates/sandgap-lab/src/fleet/client.rs
+++ b/crates/sandgap-lab/src/fleet/client.rs
@@ -7,8 +7,8 @@
 use wharfhitch::{ClassId, Effect, RequestId, TenantId};
 
 use super::{
-    Event, Fleet, IN_FLIGHT, LATE_ANSWER_WAIT, Load, MS, NO_USER, Nanos, PendingRequest, RunError, SECOND,
-    SWEEP_INTERVAL, Task, duration, micros, nanos, pick_index, stream,
+    EXPIRY_INTERVAL, Event, Fleet, IN_FLIGHT, LATE_ANSWER_WAIT, Load, MS, NO_USER, Nanos, PendingRequest,
+    RunError, SECOND, Task, duration, micros, nanos, pick_index, stream,
 };
 use crate::defects::{Defect, SOME};
 use crate::file::Retry;
@@ -96,7 +96,7 @@
                 class: class as u16,
                 tenant: tenant as u16,
                 first_try: now,
-                tries: 0,
+                retries: 0,
                 user,
                 work,
                 patience: nanos(patience).max(1),
@@ -154,7 +154,7 @@
             id: RequestId(u64::from(number)),
             class: ClassId(usize::from(task.class)),
             effect: match self.plan.policy {
-                PolicyKind::Sandgap => self.experiment.classes[usize::from(task.class)].module_effect(),
+                PolicyKind::Sandgap => self.experiment.classes[usize::from(task.class)].library_effect(),
                 _ => Effect::Safe, // so that a rival's mistakes reach the rule checker
             },
             tenant: (!self.experiment.tenants.is_empty()).then_some(TenantId(usize::from(task.tenant))),
@@ -215,9 +215,9 @@
             (Retry::Badly, _) => Some(MS),
         };
         if let Some(wait) =
-            wait.filter(|_| task.tries < self.experiment.clients.tries && now < self.measures.end())
+            wait.filter(|_| task.retries < self.experiment.clients.tries && now < self.measures.end())
         {
-            task.tries += 1;
+            task.retries += 1;
             let n = self.retries.add(task);
             return self.calendar.push(now + wait, Event::Retry(n));
         }
@@ -235,6 +235,6 @@
         let expired = |(n, r): (u32, &PendingRequest)| (now > r.deadline + LATE_ANSWER_WAIT).then_some(n);
         let all: Vec<u32> = self.requests.iter().filter_map(expired).collect();
         all.into_iter().for_each(|n| self.client_leaves(now, n));
-        self.calendar.push(now + SWEEP_INTERVAL, Event::Sweep);
+        self.calendar.push(now + EXPIRY_INTERVAL, Event::EndExpired);
     }
 }
--- a/crates/sandgap-lab/src/fleet/events.rs
+++ b/crates/sandgap-lab/src/fleet/events.rs
@@ -4,7 +4,8 @@
 use sandgap_rules::{End, Ran};
 
 use super::{
-    Event, Fleet, LATE_ANSWER_WAIT, MS, Mode, Nanos, RunError, STOP_DELAY, SWEEP_INTERVAL, StepAction, micros,
+    EXPIRY_INTERVAL, Event, Fleet, LATE_ANSWER_WAIT, MS, Mode, Nanos, RunError, STOP_DELAY, StepAction,
+    micros,
 };
 use crate::measure::Ended;
 
@@ -12,16 +13,17 @@
     /// Runs all events until the load and its last answer are over.
     pub(super) fn run_events(&mut self) -> Result<(), RunError> {
         // By then every request has ended, even in a fleet that never works off its queues.
-        let horizon = self.measures.end() + self.longest_deadline + LATE_ANSWER_WAIT + 2 * SWEEP_INTERVAL;
+        let horizon = self.measures.end() + self.longest_deadline + LATE_ANSWER_WAIT + 2 * EXPIRY_INTERVAL;
         while let Some((now, event)) = self.calendar.pop() {
             if now > horizon {
                 break;
             }
             self.measures.events += 1;
-            let swept = matches!(event, Event::Sweep);
+            let expiry_checked = matches!(event, Event::EndExpired);
             self.handle_event(now, event)?;
             // After the end of the load, the last answer ends the run: no attempt still in progress changes a result.
-            if swept && now >= self.measures.end() && self.requests.held() + self.retries.held() == 0 {
+            if expiry_checked && now >= self.measures.end() && self.requests.held() + self.retries.held() == 0
+            {
                 break;
             }
         }
@@ -73,7 +75,7 @@
                 let proxy = &mut self.proxies[usize::from(p)];
                 proxy.front = up && proxy.running && proxy.accepting;
             }
-            Event::Sweep => self.end_expired_requests(now),
+            Event::EndExpired => self.end_expired_requests(now),
         }
         Ok(())
     }
--- a/crates/sandgap-lab/src/fleet/setup.rs
+++ b/crates/sandgap-lab/src/fleet/setup.rs
@@ -10,7 +10,7 @@
 use wharfhitch::{BackendId, Balancer, Scope};
 
 use super::{
-    Calendar, DRAIN_GRACE_US, Event, Fleet, Load, MS, Mode, Nanos, Plan, RunError, SERVERS, SWEEP_INTERVAL,
+    Calendar, DRAIN_GRACE_US, EXPIRY_INTERVAL, Event, Fleet, Load, MS, Mode, Nanos, Plan, RunError, SERVERS,
     Server, ServerState, Source, Trace, Truth, UNIX_EPOCH_OFFSET_MS, Window, cumulative_shares, nanos,
     stream,
 };
@@ -51,7 +51,7 @@
             processes: 0,
             tasks: 0,
             cells: 0,
-            odd: Vec::new(),
+            violations: Vec::new(),
             source: Source::new(&e.load, rng_of("arrivals")),
             network_rng: rng_of("network"),
             front_rng: rng_of("front"),
@@ -84,7 +84,7 @@
         for (i, step) in plan.steps.iter().enumerate() {
             fleet.calendar.push(step.at, Event::PlanStep(i as u32));
         }
-        fleet.calendar.push(SWEEP_INTERVAL, Event::Sweep);
+        fleet.calendar.push(EXPIRY_INTERVAL, Event::EndExpired);
         match &e.load {
             Load::Closed { users, think } => {
                 for u in 0..*users {
--- a/crates/sandgap-lab/src/hunt.rs
+++ b/crates/sandgap-lab/src/hunt.rs
@@ -60,7 +60,7 @@
         let description = v.breaches.first().map(|b| b.what.clone());
         let description = description
             .or_else(|| v.incomplete.first().cloned())
-            .or_else(|| end.odd.first().map(|o| (*o).into()));
+            .or_else(|| end.violations.first().map(|o| (*o).into()));
         let found = description.map(|description| FailingSeed {
             seed,
             rules,
--- a/crates/sandgap-lab/src/main.rs
+++ b/crates/sandgap-lab/src/main.rs
@@ -12,14 +12,14 @@
 use sandgap_lab::run::MEASURES;
 use sandgap_lab::{agree, checks, cost, hunt, limiters, report, run, takeover};
 
-/// Exit code for a wrong file or command line.
-const USAGE_ERROR: u8 = 2;
+/// Exit code if the command could not be carried out, for example because of an invalid file.
+const COMMAND_ERROR: u8 = 2;
 
 #[derive(Parser)]
 #[command(
     name = "sandgap-lab",
     version,
-    about = "Whole fleets in virtual time, with the real decision module inside"
+    about = "Whole fleets in virtual time, with the real decision library inside"
 )]
 struct Cli {
     #[command(subcommand)]
@@ -42,19 +42,19 @@
         #[arg(long)]
         cost: bool,
     },
-    /// Reports all errors in an experiment file
+    /// Reports the errors in an experiment file: all of its syntax, or else up to 50 invalid keys or values
     Check {
         /// The experiment file
         file: PathBuf,
     },
-    /// Reports the figures that moved beyond noise between two folders of results
+    /// Reports the figures that differ significantly between two folders of results
     Compare {
         /// The first folder
         a: PathBuf,
         /// The second folder
         b: PathBuf,
     },
-    /// Searches seeds for broken rules
+    /// Searches seeds for runs in which the rule checker finds a broken rule
     Hunt {
         /// Number of seeds
         #[arg(long, default_value_t = 1000)]
@@ -81,9 +81,9 @@
         #[command(flatten)]
         fleet: FleetArgs,
     },
-    /// Checks the simulator against exact results (takes minutes)
+    /// Compares the simulator with exact results and prints the deviations (takes minutes)
     Theory {
-        /// The results to check
+        /// The results to compare with
         #[arg(value_enum)]
         part: Part,
         /// Requests for each point of the M/M/m check, over all its runs
@@ -98,11 +98,17 @@
         /// Numbers of servers
         #[arg(long, value_delimiter = ',', default_value = "10,100,1000,10000")]
         servers: Vec<u32>,
-        /// Maximum requests per second
+        /// Upper limit of the requests per second, which are otherwise 120 for each server
         #[arg(long, default_value_t = 2500.0)]
         rate: f64,
     },
-    /// Compares the module's limiter with those in common use, on servers whose size it does not know
+    /// Compares the decision library's limiter with those in common use, on servers whose size it does not know
+    ///
+    /// Servers have 12 cores unless their name says otherwise. Columns: "first" is the initial limit; "calm", "half" and
+    /// "after" are the answers as a fraction of the capacity in three phases (alone, with a neighbour that takes half of
+    /// the server, alone again), each followed by "slow", the mean latency divided by that of a request alone on the
+    /// server; "full" is the fraction of requests that were turned away; "ready" is the time to the first second with
+    /// 90% of the capacity, s.
     Limiters {
         /// The seed of the requests' work
         #[arg(long, default_value_t = 1)]
@@ -111,8 +117,8 @@
         #[arg(long)]
         spread: bool,
     },
-    /// Simulates rule agreement under faults; exits 1 if a violation is found, such as proxies that could contradict each
-    /// other for longer than stated
+    /// Simulates proxies that agree on versions of the fleet's rules, under faults; exits 1 if a violation is found, such
+    /// as proxies that could contradict each other for longer than stated
     Agree {
         /// Number of seeds
         #[arg(long, default_value_t = 200)]
@@ -132,13 +138,13 @@
         /// The stated clock drift, ppm
         #[arg(long, default_value_t = 1000)]
         ppm: u32,
-        /// Keeps contradicting versions apart by waiting
+        /// Makes voters wait, so that contradicting versions are never acted on together
         #[arg(long)]
         apart: bool,
         /// Runs without faults
         #[arg(long)]
         calm: bool,
-        /// A single partition of this shape in place of all other faults
+        /// A single partition of this shape in place of all other faults; with --calm, there is none either
         #[arg(long, value_enum)]
         only: Option<agree::faults::PartitionShape>,
         /// A flaw to inject, which the run should find
@@ -215,7 +221,7 @@
         Ok(false) => ExitCode::FAILURE,
         Err(text) => {
             eprintln!("{text}");
-            ExitCode::from(USAGE_ERROR)
+            ExitCode::from(COMMAND_ERROR)
         }
     }
 }
@@ -287,7 +293,7 @@
         Command::Limiters { seed, spread } => {
             println!(
                 "{:<22}{:>5}  {:<9}{:>8}{:>7}{:>8}{:>7}{:>8}{:>7}{:>8}{:>7}",
-                "server of 12 cores",
+                "server",
                 "first",
                 "limiter",
                 "calm",
@@ -339,14 +345,14 @@
 fn run_experiment(path: &Path, out: Option<PathBuf>, cost: bool) -> Result<bool, String> {
     let points = read_points(path)?;
     let folder = path.parent().unwrap_or(Path::new("."));
-    let (results, costs) = run::play(&points, folder, cost, true).map_err(|e| e.to_string())?;
+    let (results, costs) = run::run_points(&points, folder, cost, true).map_err(|e| e.to_string())?;
     let measures = [0, 1, 3, 5, 7];
     print!("{:<34} {:<16}", "point", "policy");
     measures.iter().for_each(|i| print!(" {:>20}", MEASURES[*i].0));
     println!(" {:>7}", "broken");
     let mut broken = 0;
     for c in &results.cells {
-        print!("{:<34} {:<16}", run::words(&c.set), c.policy.name());
+        print!("{:<34} {:<16}", run::point_text(&c.set), c.policy.name());
         for i in measures {
             let e = &c.estimates[i];
             print!(" {:>20}", format!("{:.4} ± {:.4}", e.mean, e.half));
--- a/crates/sandgap-lab/src/measure.rs
+++ b/crates/sandgap-lab/src/measure.rs
@@ -171,7 +171,7 @@
     /// Verdict of the rules.
     pub verdict: Verdict,
     /// Invalid actions of the decision module, each kind once.
-    pub odd: Vec<&'static str>,
+    pub violations: Vec<&'static str>,
     /// Wall time spent in decisions, s, and their number, if timed; never part of a result.
     pub decided: Option<(f64, u64)>,
 }
--- a/crates/sandgap-lab/src/model/laws.rs
+++ b/crates/sandgap-lab/src/model/laws.rs
@@ -12,7 +12,7 @@
 use crate::file::Checks;
 use crate::streams::Stream;
 
-/// A distribution of durations in milliseconds. Each is scaled so that its mean is the stated one.
+/// A distribution of durations in milliseconds. All but `Uniform` are scaled so that the mean is the stated one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "law", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Law {
@@ -37,7 +37,7 @@
     Lognormal {
         /// Mean.
         mean_ms: f64,
-        /// Standard deviation over mean.
+        /// Standard deviation divided by the mean.
         cv: f64,
     },
     /// One of two values, a short and a long one.
@@ -46,7 +46,7 @@
         mean_ms: f64,
         /// Part of the draws that gives the long one.
         slow_part: f64,
-        /// The long one over the short one.
+        /// The long one divided by the short one.
         slow_times: f64,
     },
     /// Pareto, bounded at both ends.
@@ -55,7 +55,7 @@
         mean_ms: f64,
         /// Its exponent; a smaller one has a heavier tail.
         shape: f64,
-        /// The upper bound over the lower bound.
+        /// The upper bound divided by the lower bound.
         most_times: f64,
     },
 }
--- a/crates/sandgap-lab/src/report.rs
+++ b/crates/sandgap-lab/src/report.rs
@@ -6,7 +6,7 @@
 use plotters::prelude::*;
 
 use crate::rivals::PolicyKind;
-use crate::run::{Cell, Cost, MEASURES, Results, words};
+use crate::run::{Cell, Cost, MEASURES, Results, point_text};
 use crate::stats::{Estimate, paired};
 
 /// Errors of writing a report or reading results.
@@ -73,7 +73,7 @@
     for c in &results.cells {
         for r in &c.runs {
             let columns = [
-                words(&c.set),
+                point_text(&c.set),
                 c.policy.name(),
                 r.seed.to_string(),
                 r.broken.to_string(),
@@ -91,7 +91,7 @@
     for c in &results.cells {
         for (e, (name, _)) in c.estimates.iter().zip(MEASURES) {
             let figures = [e.mean, e.half, e.deviation].map(|x| x.to_string());
-            let columns = [words(&c.set), c.policy.name(), name.into()];
+            let columns = [point_text(&c.set), c.policy.name(), name.into()];
             table.write_record(columns.into_iter().chain(figures).chain([e.count.to_string()]))?;
         }
     }
@@ -157,7 +157,7 @@
 fn by_point(results: &Results) -> Vec<(String, Vec<&Cell>)> {
     let mut all: Vec<(String, Vec<&Cell>)> = Vec::new();
     for c in &results.cells {
-        let name = words(&c.set);
+        let name = point_text(&c.set);
         match all.last_mut().filter(|l| l.0 == name) {
             Some(last) => last.1.push(c),
             None => all.push((name, vec![c])),
@@ -354,7 +354,7 @@
                 let _ = writeln!(
                     out,
                     "{} | {} | {name}: {:.4} -> {:.4} ({:+.4} ± {:.4})",
-                    words(&ca.set),
+                    point_text(&ca.set),
                     ca.policy.name(),
                     ca.estimates[i].mean,
                     cb.estimates[i].mean,
--- a/crates/sandgap-lab/src/run.rs
+++ b/crates/sandgap-lab/src/run.rs
@@ -118,7 +118,7 @@
 }
 
 /// What a point's sweeps set, as text.
-pub fn words(set: &[(String, String)]) -> String {
+pub fn point_text(set: &[(String, String)]) -> String {
     if set.is_empty() {
         return "all".into();
     }
@@ -130,7 +130,7 @@
 ///
 /// # Errors
 /// The first run, in the order of the file, that was aborted.
-pub fn play(
+pub fn run_points(
     points: &[Point], folder: &Path, timed: bool, bar: bool,
 ) -> Result<(Results, Vec<Cost>), RunFailed> {
     let mut jobs = Vec::new();
@@ -147,7 +147,7 @@
         let result =
             Plan::draw(&p.experiment, policy, seed, folder).and_then(|plan| fleet::run(&plan, timed, None));
         progress.inc(1);
-        result.map_err(|why| RunFailed { policy, seed, at: format!(" at {}", words(&p.set)), why })
+        result.map_err(|why| RunFailed { policy, seed, at: format!(" at {}", point_text(&p.set)), why })
     };
     // In the order of the jobs, whichever thread finished first.
     let finished: Vec<Result<Outcome, RunFailed>> = jobs.par_iter().map(one).collect();
@@ -164,7 +164,7 @@
             let spent = group.iter().filter_map(|(o, _)| o.decided);
             let (sum, decisions) = spent.fold((0.0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
             let decision_ns = sum * 1e9 / decisions.max(1) as f64;
-            costs.push(Cost { point: words(&p.set), policy, decision_ns, decisions });
+            costs.push(Cost { point: point_text(&p.set), policy, decision_ns, decisions });
         }
     }
     let first = points.first().map(|p| &p.experiment);
@@ -188,7 +188,7 @@
         .map(|(o, seed)| Run {
             seed: *seed,
             figures: figures(o),
-            broken: broken(&o.verdict) + o.odd.len(),
+            broken: broken(&o.verdict) + o.violations.len(),
             incomplete: !o.verdict.incomplete.is_empty(),
             fallen: o.measures.fallen,
         })
--- a/crates/sandgap-lab/tests/fleet.rs
+++ b/crates/sandgap-lab/tests/fleet.rs
@@ -7,7 +7,7 @@
 use sandgap_lab::hunt::{mixed, story};
 use sandgap_lab::measure::Outcome;
 use sandgap_lab::rivals::PolicyKind;
-use sandgap_lab::run::{MEASURES, broken, play};
+use sandgap_lab::run::{MEASURES, broken, run_points};
 use sandgap_lab::theory::mmm_delay;
 use sandgap_lab::{report, stats};
 
@@ -61,7 +61,8 @@
     let points = parse(&text).expect("a valid file");
     let written = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
-        let (results, _) = pool.install(|| play(&points, Path::new("."), false, false)).expect("played");
+        let (results, _) =
+            pool.install(|| run_points(&points, Path::new("."), false, false)).expect("played");
         let folder = std::env::temp_dir().join(format!("sandgap-lab-{}-{threads}", std::process::id()));
         report::write(&results, None, &folder).expect("written");
         let read = |f: &str| std::fs::read(folder.join(f)).expect("the file was written");
@@ -83,7 +84,11 @@
             let a = &o.measures.all;
             let ends = a.served + a.refused + a.failed + a.left + a.lost + a.untaken;
             assert_eq!(a.asked, ends, "{policy:?} {seed}");
-            assert!(o.odd.is_empty() && o.verdict.incomplete.is_empty(), "{policy:?} {seed}: {}", o.verdict);
+            assert!(
+                o.violations.is_empty() && o.verdict.incomplete.is_empty(),
+                "{policy:?} {seed}: {}",
+                o.verdict
+            );
             // Rivals don't know about cold servers; the core enforces all other rules for them too.
             let cold = usize::try_from(o.measures.fallen).expect("few");
             assert!(broken(&o.verdict) <= cold, "{policy:?} {seed}: {}", o.verdict);
@@ -188,7 +193,7 @@
     let of = |rate: f64| {
         let e = small("policies = [\"sandgap\"]", &format!("[load]\nkind = \"poisson\"\nrate = {rate:?}\n"));
         let point = sandgap_lab::file::Point { set: Vec::new(), experiment: e };
-        play(&[point], Path::new("."), false, false).expect("played").0
+        run_points(&[point], Path::new("."), false, false).expect("played").0
     };
     let (a, b) = (of(100.0), of(600.0));
     assert!(report::compare(&a, &a).starts_with("0 figures moved"), "{}", report::compare(&a, &a));
