--- a/crates/sandgap-rig/src/backend.rs
+++ b/crates/sandgap-rig/src/backend.rs
@@ -12,14 +12,14 @@
 
 use crate::clock::Micros;
 use crate::http::{Conn, Message};
-use crate::machine::{Machine, Taken};
+use crate::machine::{Admission, Machine};
 use crate::schedule::{CELL, Mode};
 use crate::world::World;
 use sandgap_rules::{Ran, Record, Writer};
 
 /// Largest number of connections that fill the accept queue of a black hole.
 const MAX_FILLERS: usize = 4;
-/// If one of them is not established by then, the queue is full.
+/// The accept queue of a black hole counts as full if a connection is not established within this time.
 const FULL_QUEUE_TIMEOUT: Duration = Duration::from_millis(30);
 /// Accept queue of a normal listener.
 const BACKLOG: u32 = 1024;
@@ -78,12 +78,12 @@
         self.number / CELL
     }
 
-    /// Requests that it has received so far.
+    /// Requests with an `x-request-id` that it has read so far; connections that its mode resets first are not counted.
     pub fn handled(&self) -> u32 {
         self.handled.get()
     }
 
-    /// Sets its mode, unless it has ended.
+    /// Sets its mode, unless it has ended; the machine's slowdown is set in any case.
     pub fn set(&self, mode: Mode) {
         self.state.send_if_modified(|state| {
             let new = State::Running(mode);
@@ -92,7 +92,7 @@
         self.machine.borrow_mut().slow = if let Mode::Slow(times) = mode { times } else { 1.0 };
     }
 
-    /// Ends it: requests in progress are finished, no new ones are accepted.
+    /// Ends it: requests in progress are finished, except hung ones, which are reset; no new ones are accepted.
     pub fn end(&self) {
         self.state.send_replace(State::Ended);
     }
@@ -105,8 +105,8 @@
     async fn listen(self: Rc<Self>, world: Rc<World>, proxy: usize) {
         let mut state = self.state.subscribe();
         loop {
-            let now = *state.borrow_and_update();
-            match now {
+            let current = *state.borrow_and_update();
+            match current {
                 State::Ended => return,
                 State::Running(Mode::Refuse) => {
                     let _ = state.changed().await;
@@ -135,15 +135,15 @@
             tokio::select! {
                 biased;
                 _ = state.changed() => {
-                    let now = *state.borrow_and_update();
-                    if matches!(now, State::Ended | State::Running(Mode::Refuse | Mode::BlackHole)) {
+                    let current = *state.borrow_and_update();
+                    if matches!(current, State::Ended | State::Running(Mode::Refuse | Mode::BlackHole)) {
                         state.mark_changed();
                         return;
                     }
                 }
                 next = listener.accept() => if let Ok((stream, _)) = next {
                     if self.mode() == Mode::ResetBefore {
-                        reset(&stream);
+                        reset_on_drop(&stream);
                     } else {
                         spawn_local(self.clone().serve(world.clone(), proxy, Conn::new(stream)));
                     }
@@ -173,9 +173,9 @@
         }
     }
 
-    /// Waits until it is no longer in a mode.
+    /// Waits until the backend is no longer in `mode`.
     async fn wait_until_mode_ends(&self, mode: Mode) {
-        let _ = self.state.subscribe().wait_for(|l| *l != State::Running(mode)).await;
+        let _ = self.state.subscribe().wait_for(|s| *s != State::Running(mode)).await;
     }
 
     async fn serve(self: Rc<Self>, world: Rc<World>, proxy: usize, mut conn: Conn) {
@@ -184,15 +184,15 @@
             let idle = sleep(if self.mode() == Mode::ClosesIdle { IDLE_CLOSE } else { FOREVER });
             tokio::select! {
                 begun = conn.begin() => if !begun { return },
-                _ = state.wait_for(|l| *l == State::Ended) => return,
+                _ = state.wait_for(|s| *s == State::Ended) => return,
                 () = idle => return,
             }
             match self.mode() {
                 Mode::BlackHole => {
                     self.wait_until_mode_ends(Mode::BlackHole).await;
-                    return reset(&conn.stream);
+                    return reset_on_drop(&conn.stream);
                 }
-                Mode::ResetBefore | Mode::ResetDuring => return reset(&conn.stream),
+                Mode::ResetBefore | Mode::ResetDuring => return reset_on_drop(&conn.stream),
                 _ => {}
             }
             let Ok(request) = conn.request(&world.clock).await else { return };
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Handles a request by its mode; returns whether the connection continues.
+    /// Handles a request as the backend's mode requires; returns whether the connection continues.
     async fn handle(&self, world: &Rc<World>, proxy: usize, conn: &mut Conn, message: &Message) -> bool {
         self.handled.set(self.handled.get() + 1);
         let request = message.header("x-request-id").and_then(|id| world.request_number(id));
@@ -231,7 +231,7 @@
             Mode::Hang => {
                 drop(guard); // recorded now, since it never ends by itself
                 self.wait_until_mode_ends(Mode::Hang).await;
-                reset(&conn.stream);
+                reset_on_drop(&conn.stream);
                 return false;
             }
             Mode::Noise => {
@@ -245,28 +245,30 @@
         }
         let work = world.plan.requests[request as usize].work_ms;
         let now = ms(world.now());
-        let had_fallen = self.machine.borrow().has_fallen();
-        let taken = self.machine.borrow_mut().take(now, work);
-        match taken {
-            Taken::Falls => {
-                if !had_fallen {
+        let had_failed = self.machine.borrow().has_failed();
+        let admission = self.machine.borrow_mut().take(now, work);
+        match admission {
+            Admission::Fails => {
+                if !had_failed {
                     let (backend, at) = (self.number as u16, world.now());
                     world.record(Writer::Backends, Record::BackendOverloaded { backend, at });
                 }
                 self.end();
-                reset(&conn.stream);
+                reset_on_drop(&conn.stream);
                 return false;
             }
-            Taken::Full => {
+            Admission::Rejected => {
                 guard.ran.set(Ran::Never);
                 let text = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
                 return conn.write(text).await.is_ok();
             }
-            Taken::Done(at) => tokio::time::sleep_until(world.clock.instant((at * 1000.0) as Micros)).await,
+            Admission::Done(at) => {
+                tokio::time::sleep_until(world.clock.instant((at * 1000.0) as Micros)).await
+            }
         }
         match mode {
             Mode::ResetAfter => {
-                reset(&conn.stream);
+                reset_on_drop(&conn.stream);
                 false
             }
             Mode::CutAnswer => {
@@ -328,8 +330,8 @@
     at as f64 / 1000.0
 }
 
-/// Ends a connection with a reset.
-fn reset(stream: &TcpStream) {
+/// Makes the connection end with a reset when it is dropped, by a linger time of 0.
+fn reset_on_drop(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
--- a/crates/sandgap-rig/src/machine.rs
+++ b/crates/sandgap-rig/src/machine.rs
@@ -26,21 +26,22 @@
     pub start: f64,
     /// Time after which it has its full capacity, ms.
     pub warm_ms: Ms,
-    /// A cold machine fails if the work sent to it exceeds its present capacity by more than this factor...
+    /// A cold machine fails if the work sent to it within `span_ms` exceeds this multiple of its present capacity over
+    /// that span, plus four times the work of the latest request.
     pub multiple: f64,
-    /// ...over this span, ms.
+    /// The span over which that work is summed, ms.
     pub span_ms: Ms,
 }
 
-/// What happens to a request.
+/// What happens to a request that a machine receives.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum Admission {
     /// It finishes at this time.
     Done(Ms),
     /// The queue is full: it never runs.
-    Full,
+    Rejected,
     /// The machine fails on it, or has failed before.
-    Falls,
+    Fails,
 }
 
 /// A running machine.
@@ -53,11 +54,12 @@
     free_at: Vec<Ms>,
     /// Start times of requests that had to wait; bounded by the queue.
     queued_starts: VecDeque<Ms>,
-    /// Recent work with its time of arrival, while cold; bounded by the rule's span and by the machine's failure.
+    /// Work received within the rule's span with its time of arrival, while cold. Cleared once warm; a failed machine
+    /// adds nothing to it.
     recent_work: VecDeque<(Ms, f64)>,
     /// Factor by which the service time of every request is multiplied.
     pub slow: f64,
-    fallen: bool,
+    failed: bool,
 }
 
 impl Machine {
@@ -65,7 +67,7 @@
     pub fn new(build: Build, rule: ColdRule, born: Option<Ms>) -> Self {
         let free_at = vec![0.0; build.cores.max(1)];
         let (queued_starts, recent_work) = (VecDeque::new(), VecDeque::new());
-        Machine { build, rule, born, free_at, queued_starts, recent_work, slow: 1.0, fallen: false }
+        Machine { build, rule, born, free_at, queued_starts, recent_work, slow: 1.0, failed: false }
     }
 
     /// Fraction of its full capacity that the machine has.
@@ -76,34 +78,34 @@
     }
 
     /// Whether the machine has failed from overload while cold.
-    pub fn has_fallen(&self) -> bool {
-        self.fallen
+    pub fn has_failed(&self) -> bool {
+        self.failed
     }
 
-    /// Accepts or rejects a request of so many milliseconds of work on a standard core.
-    pub fn take(&mut self, now: Ms, work: f64) -> Taken {
-        if self.fallen || self.is_overloaded_cold(now, work) {
-            self.fallen = true;
-            return Taken::Falls;
+    /// Accepts or rejects a request that takes `work` ms on a standard core.
+    pub fn take(&mut self, now: Ms, work: f64) -> Admission {
+        if self.failed || self.is_overloaded_cold(now, work) {
+            self.failed = true;
+            return Admission::Fails;
         }
         while self.queued_starts.front().is_some_and(|s| *s <= now) {
             self.queued_starts.pop_front();
         }
         let warmth = self.warmth(now);
-        let span = work * self.slow / (self.build.speed * warmth);
+        let service_time = work * self.slow / (self.build.speed * warmth);
         if self.build.cores == 0 {
-            return Taken::Done(now + span);
+            return Admission::Done(now + service_time);
         }
         let core = self.free_at.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("at least one core");
         if *core > now && self.queued_starts.len() >= self.build.queue {
-            return Taken::Full;
+            return Admission::Rejected;
         }
         let start = core.max(now);
-        *core = start + span;
+        *core = start + service_time;
         if start > now {
             self.queued_starts.push_back(start);
         }
-        Taken::Done(start + span)
+        Admission::Done(start + service_time)
     }
 
     /// Whether this request overloads the machine while it is cold.
@@ -118,7 +120,7 @@
             self.recent_work.pop_front();
         }
         let capacity = self.build.cores as f64 * self.build.speed * warmth;
-        let slack = 4.0 * work; // a few more requests are chance, not overload
+        let slack = 4.0 * work; // up to four requests of this size above the limit are chance, not overload
         let sum: f64 = self.recent_work.iter().map(|(_, w)| w).sum();
         sum > self.rule.multiple * capacity * self.rule.span_ms + slack
     }
@@ -137,24 +139,25 @@
     #[test]
     fn cores_serve_in_order_and_a_full_queue_rejects() {
         let mut m = machine(None);
-        assert_eq!(m.take(0.0, 10.0), Taken::Done(10.0));
-        assert_eq!(m.take(0.0, 20.0), Taken::Done(20.0));
-        assert_eq!(m.take(5.0, 10.0), Taken::Done(20.0));
-        assert_eq!(m.take(5.0, 10.0), Taken::Full);
-        assert_eq!(m.take(10.0, 1.0), Taken::Done(21.0));
+        assert_eq!(m.take(0.0, 10.0), Admission::Done(10.0));
+        assert_eq!(m.take(0.0, 20.0), Admission::Done(20.0));
+        assert_eq!(m.take(5.0, 10.0), Admission::Done(20.0));
+        assert_eq!(m.take(5.0, 10.0), Admission::Rejected);
+        assert_eq!(m.take(10.0, 1.0), Admission::Done(21.0));
     }
 
     #[test]
     fn a_cold_machine_is_slow_and_fails_when_overloaded() {
         let mut m = machine(Some(0.0));
-        assert!(matches!(m.take(0.0, 3.0), Taken::Done(d) if (d - 10.0).abs() < 1e-9));
-        // The limit is 2.5 times 0.6 cores for 500 ms: 750 ms of work.
+        assert!(matches!(m.take(0.0, 3.0), Admission::Done(d) if (d - 10.0).abs() < 1e-9));
+        // The limit is 2.5 times 0.6 cores for 500 ms at time 0: 750 ms of work. It grows while the machine warms, and
+        // four times the latest request comes on top.
         let mut at = 0.0;
-        while m.take(at, 10.0) != Taken::Falls {
+        while m.take(at, 10.0) != Admission::Fails {
             at += 1.0;
         }
-        assert!((60.0..120.0).contains(&at) && m.has_fallen(), "{at}");
+        assert!((60.0..120.0).contains(&at) && m.has_failed(), "{at}");
         let mut warm = machine(Some(0.0));
-        (0..1000).for_each(|_| assert_ne!(warm.take(1000.0, 10.0), Taken::Falls));
+        (0..1000).for_each(|_| assert_ne!(warm.take(1000.0, 10.0), Admission::Fails));
     }
 }
--- a/crates/sandgap-rig/src/relay.rs
+++ b/crates/sandgap-rig/src/relay.rs
@@ -28,7 +28,7 @@
 /// How a relay behaves, and which rule it breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Kind {
-    /// No rules and no deadlines: the baseline for costs.
+    /// No deadlines, and drains only as far as it takes drained backends off its list: the baseline for costs.
     Bare,
     /// Keeps drains and deadlines.
     Plain,
@@ -38,7 +38,7 @@
     IgnoresDrains,
     /// Drops the answer to one request in fifty, together with the connection.
     DropsAnswers,
-    /// Refuses requests that may have run.
+    /// Answers 503, as if refused, after any failed attempt, although the request may have run.
     RefusesRan,
     /// Delays one answer in fifty past its deadline.
     AnswersLate,
@@ -62,9 +62,9 @@
     Kind::SendsAfter,
 ];
 
-/// One request in so many meets the defect, where it would hide all other behaviour if it met every request.
+/// Every 50th request is affected by the defects that would mask all other behaviour if they affected every request.
 const DEFECT_INTERVAL: u32 = 50;
-/// How long before the client's timeout an answer has to be sent.
+/// Attempts end this long before the client's timeout, which is counted from the end of the request body.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 
 #[derive(Deserialize)]
@@ -189,12 +189,7 @@
     async fn connection(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request| {
             let relay = self.clone();
-            async move {
-                relay
-                    .answer(request)
-                    .await
-                    .ok_or(std::io::Error::other("request dropped by the relay's defect"))
-            }
+            async move { relay.answer(request).await.ok_or(std::io::Error::other("request dropped")) }
         });
         let _ =
             hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
