--- a/crates/sandgap/tests/cli.rs
+++ b/crates/sandgap/tests/cli.rs
@@ -10,7 +10,7 @@
         .args(arguments)
         .env_remove("NODE_CONFIG")
         .output()
-        .expect("it runs")
+        .expect("sandgap starts")
 }
 
 fn settings(backends: &[&Backend]) -> String {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn check_reports_all_errors_and_exits_with_2() {
+fn check_accepts_valid_settings_and_reports_all_errors_with_exit_code_2() {
     let file =
         toml_file(&settings(&[]).replace("listen", "lisen").replace("deadline_ms = 5000", "deadline_ms = 0"));
     let out = sandgap(&["check", file.to_str().unwrap()]);
@@ -76,20 +76,20 @@
     assert_eq!(send_request("r-1").text(), "one");
     // Invalid settings change nothing.
     proxy.reload("[proxy]");
-    wait_for("a log line about it", || proxy.log_contains("stays as it was"));
+    wait_for("the log line about the rejected settings", || proxy.log_contains("stays as it was"));
     assert_eq!(send_request("r-2").text(), "one");
     let moved = settings(&[&two]).replace("s-0", "s-1");
     proxy.reload(&moved);
-    wait_for("the other one", || send_request("r-3").text() == "two");
+    wait_for("an answer from the second backend", || send_request("r-3").text() == "two");
     // A draining backend gets no new requests.
     let drained = moved.replace("share = 4", "share = 4\nstate = \"draining\"");
     proxy.reload(&(drained + &format!("[[backend]]\nname = \"s-2\"\naddress = \"{}\"\n", one.address)));
-    wait_for("the first one again", || send_request("r-4").text() == "one");
+    wait_for("an answer from the first backend again", || send_request("r-4").text() == "one");
     (0..20).for_each(|i| assert_eq!(send_request(&format!("r-5-{i}")).text(), "one"));
 }
 
 #[test]
-fn the_demo_reports_that_all_rules_held() {
+fn the_demo_reports_that_all_rules_held_and_rejects_a_duration_of_1_s() {
     let out = sandgap(&["demo", "--seconds", "4", "--rate", "100"]);
     let output = String::from_utf8_lossy(&out.stdout).into_owned();
     assert!(out.status.success() && output.contains("all four rules held"), "{output}");
