--- a/crates/sandgap-rig/src/main.rs
+++ b/crates/sandgap-rig/src/main.rs
@@ -487,7 +487,7 @@
                     println!("{line}");
                 } else {
                     println!(
-                        "{name} seed {seed}: {:.1} s, {} requests found no proxy, machine stalled {} times, {:.0} ms in total",
+                        "{name} seed {seed}: {:.1} s, {} untaken, machine stood still {} times, {:.0} ms in all",
                         outcome.seconds, outcome.untaken, outcome.stalls.0, outcome.stalls.1
                     );
                     println!("{outcome}");
