--- a/crates/sandgap-agree/src/follower.rs
+++ b/crates/sandgap-agree/src/follower.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use sandgap_fleet::Time;
-use sandgap_fleet::lease::{Asker, Lease, Right};
+use sandgap_fleet::lease::{Lease, LeasePermission, RequestTracker};
 
 use crate::limits::{MAX_RIDER_MESSAGE_BYTES, MAX_RIDER_MESSAGES};
 use crate::rider::{Tag, Told};
@@ -48,14 +48,14 @@
     /// The version.
     pub version: Version,
     /// The lease behind it.
-    pub right: Right<'a>,
+    pub permission: LeasePermission<'a>,
 }
 
 /// A proxy's state about agreed rules, see the module.
 #[derive(Debug)]
 pub struct Follower {
     span: Span,
-    asker: Asker,
+    tracker: RequestTracker,
     /// The last known version in force and pending version.
     known: Standing,
     /// The version acted on; 0 for none.
@@ -78,11 +78,11 @@
 }
 
 impl Follower {
-    /// A follower without any knowledge. `first` is random at each start, see [`Asker`].
+    /// A follower without any knowledge. `first` is random at each start, see [`RequestTracker`].
     pub fn new(span: Span, first: u64) -> Self {
         Follower {
             span,
-            asker: Asker::new(first),
+            tracker: RequestTracker::new(first),
             known: Standing::default(),
             acting: 0,
             lease: Lease::default(),
@@ -124,7 +124,7 @@
 
     /// The number and the report of a lease request that is sent now.
     pub fn ask(&mut self, now: Time) -> (u64, Report) {
-        let number = self.asker.ask(now);
+        let number = self.tracker.record_request(now);
         let lease_ms = u32::try_from(self.lease.left(now).as_millis()).unwrap_or(u32::MAX);
         let looked = self.looked.clone();
         let draw = self.holder.as_ref().map_or(0, Holder::draw);
@@ -135,7 +135,7 @@
 
     /// Processes a grant.
     pub fn granted(&mut self, now: Time, grant: &Grant, turns: &mut Vec<Turn>) -> Vec<Step> {
-        let Some(asked) = self.asker.answered(grant.number) else { return Vec::new() };
+        let Some(asked) = self.tracker.take_request(grant.number) else { return Vec::new() };
         if let (Some(holder), Some(tenure)) = (&mut self.holder, &grant.tenure) {
             holder.granted(asked, tenure, self.span, turns);
         }
@@ -157,11 +157,11 @@
             return Vec::new();
         }
         if standing.version > self.known.version {
-            self.ahead_lease.give_back();
+            self.ahead_lease.release();
         }
         self.known = standing.clone();
         if self.known.closed {
-            self.lease.give_back();
+            self.lease.release();
         }
         self.next_steps(now)
     }
@@ -205,7 +205,7 @@
         }
         if self.acting == version {
             self.acting = 0;
-            self.lease.give_back();
+            self.lease.release();
             self.unusable = Some(why.to_owned());
         }
     }
@@ -240,7 +240,7 @@
             self.lease = ahead_lease;
         }
         if self.known.closed {
-            self.lease.give_back();
+            self.lease.release();
         }
         self.evict_books();
     }
@@ -265,7 +265,7 @@
         if self.acting == 0 || self.known.closed {
             return None;
         }
-        Some(Taking { version: self.acting, right: self.lease.right(now)? })
+        Some(Taking { version: self.acting, permission: self.lease.permission(now)? })
     }
 
     /// Counts a request that was refused for lack of a lease.
--- a/crates/sandgap-agree/src/limits.rs
+++ b/crates/sandgap-agree/src/limits.rs
@@ -12,8 +12,8 @@
 pub const SNAPSHOT_INTERVAL_ENTRIES: u64 = 256;
 /// Log entries that compaction retains for voters that lag slightly.
 pub const RETAINED_ENTRIES: u64 = 64;
-/// Members whose state a voter tracks: the fleet's own bound, [`sandgap_fleet::limits::MEMBERS`].
-pub const MAX_MEMBERS: usize = sandgap_fleet::limits::MEMBERS;
+/// Members whose state a voter tracks: the fleet's own bound, [`sandgap_fleet::limits::MAX_MEMBERS`].
+pub const MAX_MEMBERS: usize = sandgap_fleet::limits::MAX_MEMBERS;
 /// Ended lives whose requests nobody has settled yet: several per member.
 pub const MAX_ESTATES: usize = 4 * MAX_MEMBERS;
 /// How long ended lives are remembered: longer than any other component remembers the end of a request.
--- a/crates/sandgap-agree/src/tenure.rs
+++ b/crates/sandgap-agree/src/tenure.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use sandgap_fleet::Time;
-use sandgap_fleet::lease::{Lease, Right};
+use sandgap_fleet::lease::{Lease, LeasePermission};
 
 use crate::lives::{Claim, Enrolled, Epoch, Life, LifeEntry, drawn};
 use crate::terms::Span;
@@ -67,9 +67,9 @@
     }
 
     /// The right to act under its life now.
-    pub fn right(&self, now: Time) -> Option<Right<'_>> {
+    pub fn permission(&self, now: Time) -> Option<LeasePermission<'_>> {
         self.life.filter(|_| !self.leaving)?;
-        self.lease.right(now)
+        self.lease.permission(now)
     }
 
     /// The last known membership list, with its number.
@@ -99,7 +99,7 @@
 
     fn end_life(&mut self, old: Life, turns: &mut Vec<Turn>) {
         self.life = None;
-        self.lease.give_back();
+        self.lease.release();
         self.claims.clear();
         // A new random number, as the log must take the next life for another process.
         self.me.draw = drawn(self.me.draw).max(1);
@@ -144,7 +144,7 @@
     /// Gives up the lease for a shutdown: from here on nothing is done under this life.
     pub fn leave(&mut self) {
         self.leaving = true;
-        self.lease.give_back();
+        self.lease.release();
     }
 
     /// Entries that voters should propose. Sent with each lease request until a grant shows that they are applied.
@@ -197,8 +197,8 @@
         assert!(grant(&mut h, 0, None, &[]).is_empty());
         assert_eq!(grant(&mut h, 100, Some(5), &[]), [Turn::Begun(5)]);
         assert!(h.entries_to_propose().is_empty());
-        assert!(h.right(ms(1099)).is_some());
-        assert!(h.right(ms(1100)).is_none());
+        assert!(h.permission(ms(1099)).is_some());
+        assert!(h.permission(ms(1100)).is_none());
     }
 
     #[test]
@@ -206,7 +206,7 @@
         let mut h = holder();
         grant(&mut h, 0, Some(5), &[claim(9)]);
         assert_eq!(grant(&mut h, 100, None, &[]), [Turn::Ended(5)]);
-        assert!(h.right(ms(101)).is_none());
+        assert!(h.permission(ms(101)).is_none());
         assert_ne!(h.draw(), 77, "a repeated draw would match the old enrolment");
         assert_eq!(grant(&mut h, 200, Some(6), &[claim(9)])[0], Turn::Begun(6));
         assert_eq!(
@@ -233,9 +233,9 @@
         let mut h = holder();
         grant(&mut h, 0, Some(5), &[]);
         h.leave();
-        assert!(h.right(ms(1)).is_none());
+        assert!(h.permission(ms(1)).is_none());
         assert!(grant(&mut h, 2, Some(5), &[]).is_empty());
-        assert!(h.right(ms(3)).is_none(), "a late grant does not renew the lease");
+        assert!(h.permission(ms(3)).is_none(), "a late grant does not renew the lease");
         assert_eq!(h.entries_to_propose(), [LifeEntry::Fence { life: 5, told: true }]);
         assert_eq!(grant(&mut h, 4, None, &[]), [Turn::Ended(5)]);
         assert!(h.has_left() && h.entries_to_propose().is_empty());
--- a/crates/sandgap-fleet/src/frame.rs
+++ b/crates/sandgap-fleet/src/frame.rs
@@ -12,7 +12,7 @@
 
 use std::fmt;
 
-use crate::limits::{MAX_BODY_BYTES, NAME};
+use crate::limits::{MAX_BODY_BYTES, MAX_NAME_BYTES};
 
 /// Identifies this format and its version.
 const MAGIC: [u8; 4] = *b"sgf1";
@@ -33,7 +33,7 @@
     #[error("the peer does not use this version of the fleet's frame protocol")]
     Version,
     /// The name is empty, too long or not UTF-8.
-    #[error("the peer's name is not 1 to {NAME} bytes of UTF-8 text")]
+    #[error("the peer's name is not 1 to {MAX_NAME_BYTES} bytes of UTF-8 text")]
     Name,
     /// The body exceeds the maximum length.
     #[error("the frame body has {0} bytes; {MAX_BODY_BYTES} at most are allowed")]
@@ -97,7 +97,7 @@
     /// Encodes the wire format.
     ///
     /// # Panics
-    /// If the name is longer than 255 bytes; settings limit it to [`NAME`].
+    /// If the name is longer than 255 bytes; settings limit it to [`MAX_NAME_BYTES`].
     pub fn encode(&self) -> Vec<u8> {
         let length = u8::try_from(self.name.len()).expect("names are short");
         [&MAGIC[..], &self.nonce, &[length], self.name.as_bytes()].concat()
@@ -114,7 +114,7 @@
         }
         const FIXED_BYTES: usize = MAGIC.len() + NONCE_BYTES + 1;
         let Some(length) = bytes.get(FIXED_BYTES - 1).map(|l| usize::from(*l)) else { return Ok(None) };
-        if length == 0 || length > NAME {
+        if length == 0 || length > MAX_NAME_BYTES {
             return Err(FrameError::Name);
         }
         let Some(name) = bytes.get(FIXED_BYTES..FIXED_BYTES + length) else { return Ok(None) };
--- a/crates/sandgap-fleet/src/lease.rs
+++ b/crates/sandgap-fleet/src/lease.rs
@@ -6,7 +6,7 @@
 //! time of the answer therefore doesn't matter: a late answer grants less time or none. After a standstill the holder
 //! finds its lease expired, since its clock has kept running.
 //!
-//! Functions that may only be called under a lease take a [`Right`], which only [`Lease::right`] creates, so that a
+//! Functions that may only be called under a lease take a [`LeasePermission`], which only [`Lease::permission`] creates, so that a
 //! forgotten check does not compile.
 
 use std::collections::VecDeque;
@@ -19,19 +19,19 @@
 /// A holder's lease, with its end on the holder's own clock.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
-    /// End of the lease; `None` before the first grant and after it has been given back.
+    /// End of the lease; `None` before the first grant and after it was released.
     end: Option<Time>,
 }
 
-/// Permission to act now under a live lease. It can't outlive the borrow of the lease, and only [`Lease::right`] creates
+/// Permission to act now under a live lease. It can't outlive the borrow of the lease, and only [`Lease::permission`] creates
 /// it.
 #[derive(Debug)]
-pub struct Right<'a> {
+pub struct LeasePermission<'a> {
     until: Time,
     lease: PhantomData<&'a Lease>,
 }
 
-impl Right<'_> {
+impl LeasePermission<'_> {
     /// End of the underlying lease, on the holder's clock.
     pub fn until(&self) -> Time {
         self.until
@@ -47,9 +47,9 @@
     }
 
     /// Permission to act at `now`, if the lease has not ended.
-    pub fn right(&self, now: Time) -> Option<Right<'_>> {
+    pub fn permission(&self, now: Time) -> Option<LeasePermission<'_>> {
         let until = self.end.filter(|end| now < *end)?;
-        Some(Right { until, lease: PhantomData })
+        Some(LeasePermission { until, lease: PhantomData })
     }
 
     /// Remaining time.
@@ -62,8 +62,8 @@
         self.end
     }
 
-    /// Gives the lease back; it is no longer held.
-    pub fn give_back(&mut self) {
+    /// Releases the lease: it is no longer held.
+    pub fn release(&mut self) {
         self.end = None;
     }
 }
@@ -72,19 +72,19 @@
 ///
 /// Numbers start at a random value at each process start, so that an answer to the previous process matches no request.
 #[derive(Clone, Debug)]
-pub struct Asker {
+pub struct RequestTracker {
     next: u64,
     asked: VecDeque<(u64, Time)>,
 }
 
-impl Asker {
-    /// An asker whose numbers begin at `first`, a fresh random value for each process.
+impl RequestTracker {
+    /// A tracker whose numbers begin at `first`, a fresh random value for each process.
     pub fn new(first: u64) -> Self {
-        Asker { next: first, asked: VecDeque::new() }
+        RequestTracker { next: first, asked: VecDeque::new() }
     }
 
     /// Records a request sent now and returns its number.
-    pub fn ask(&mut self, now: Time) -> u64 {
+    pub fn record_request(&mut self, now: Time) -> u64 {
         let number = self.next;
         self.next = self.next.wrapping_add(1);
         if self.asked.len() == MAX_PENDING_ASKS {
@@ -96,7 +96,7 @@
 
     /// When the request that an answer names was sent. Each answer counts once. Requests older than an answered one are
     /// dropped, since their answers could not extend the lease.
-    pub fn answered(&mut self, number: u64) -> Option<Time> {
+    pub fn take_request(&mut self, number: u64) -> Option<Time> {
         let at = self.asked.iter().position(|(n, _)| *n == number)?;
         let asked = self.asked[at].1;
         self.asked.drain(..=at);
@@ -119,24 +119,24 @@
     #[test]
     fn it_ends_a_fixed_term_after_the_request_however_late_the_answer() {
         let mut lease = Lease::default();
-        assert!(lease.right(ms(0)).is_none());
-        let mut asker = Asker::new(7);
-        let number = asker.ask(ms(100));
+        assert!(lease.permission(ms(0)).is_none());
+        let mut tracker = RequestTracker::new(7);
+        let number = tracker.record_request(ms(100));
         // The answer arrives 900 ms later: 100 ms are left, minus the drift.
-        lease.granted(asker.answered(number).expect("asked"), LENGTH, Drift::ppm(10_000));
-        assert!(lease.right(ms(1000)).is_some());
+        lease.granted(tracker.take_request(number).expect("asked"), LENGTH, Drift::ppm(10_000));
+        assert!(lease.permission(ms(1000)).is_some());
         assert_eq!(lease.left(ms(1000)), ms(90));
-        assert!(lease.right(ms(1090)).is_none());
+        assert!(lease.permission(ms(1090)).is_none());
     }
 
     #[test]
     fn late_repeated_and_unknown_answers_change_nothing() {
-        let mut asker = Asker::new(u64::MAX);
-        let (first, second) = (asker.ask(ms(0)), asker.ask(ms(10)));
+        let mut tracker = RequestTracker::new(u64::MAX);
+        let (first, second) = (tracker.record_request(ms(0)), tracker.record_request(ms(10)));
         assert_eq!(second, 0, "numbers wrap around");
-        assert_eq!(asker.answered(second), Some(ms(10)));
-        assert_eq!(asker.answered(second), None);
-        assert_eq!(asker.answered(first), None);
+        assert_eq!(tracker.take_request(second), Some(ms(10)));
+        assert_eq!(tracker.take_request(second), None);
+        assert_eq!(tracker.take_request(first), None);
         let mut lease = Lease::default();
         lease.granted(ms(10), LENGTH, Drift::ppm(0));
         lease.granted(ms(0), LENGTH, Drift::ppm(0));
@@ -145,10 +145,11 @@
 
     #[test]
     fn unanswered_requests_are_bounded() {
-        let mut asker = Asker::new(0);
-        let all: Vec<u64> = (0..2 * MAX_PENDING_ASKS as u64).map(|at| asker.ask(ms(at))).collect();
-        assert_eq!(asker.answered(all[0]), None);
-        assert_eq!(asker.answered(all[MAX_PENDING_ASKS]), Some(ms(MAX_PENDING_ASKS as u64)));
+        let mut tracker = RequestTracker::new(0);
+        let all: Vec<u64> =
+            (0..2 * MAX_PENDING_ASKS as u64).map(|at| tracker.record_request(ms(at))).collect();
+        assert_eq!(tracker.take_request(all[0]), None);
+        assert_eq!(tracker.take_request(all[MAX_PENDING_ASKS]), Some(ms(MAX_PENDING_ASKS as u64)));
     }
 
     proptest! {
@@ -162,7 +163,7 @@
             let mut lease = Lease::default();
             lease.granted(shown(asked), Duration::from_millis(length), Drift::ppm(ppm));
             let past = asked + length as f64 + 1e-3;
-            prop_assert!(lease.right(shown(past)).is_none());
+            prop_assert!(lease.permission(shown(past)).is_none());
         }
     }
 }
--- a/crates/sandgap-fleet/src/lib.rs
+++ b/crates/sandgap-fleet/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod members;
 
 pub use clock::{Drift, Time};
-pub use lease::{Asker, Lease, Right};
+pub use lease::{Lease, LeasePermission, RequestTracker};
 pub use members::{Identity, Members};
--- a/crates/sandgap-fleet/src/limits.rs
+++ b/crates/sandgap-fleet/src/limits.rs
@@ -5,7 +5,7 @@
 /// Maximum bytes of a frame's body. A rulebook of a thousand backends takes about 100 kB; a snapshot holds several.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 /// Maximum bytes of a proxy's name.
-pub const NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Maximum frames queued for one peer. Further frames displace the oldest; the protocols above retransmit what matters.
 pub const MAX_QUEUED_FRAMES: usize = 1024;
 /// Maximum bytes queued for one peer, so that a slow reader can't fill the memory. Room for two frames of maximum size.
@@ -32,7 +32,7 @@
 /// means that all are lost.
 pub const MAX_PENDING_ASKS: usize = 32;
 /// Maximum known members; further ones are ignored. Several times the size of a fleet of 300 proxies.
-pub const MEMBERS: usize = 2048;
+pub const MAX_MEMBERS: usize = 2048;
 /// Maximum bytes of a membership message, which holds a few dozen members.
 pub const MAX_GOSSIP_BYTES: usize = 1400;
 /// Maximum seed members that a proxy announces itself to, as its settings name them: the voters.
--- a/crates/sandgap-fleet/src/link.rs
+++ b/crates/sandgap-fleet/src/link.rs
@@ -20,8 +20,8 @@
 
 use crate::frame::{FrameError, Hello, Key, Opener, Sealer, Side, session};
 use crate::limits::{
-    IDLE_TIMEOUT, MAX_BACKOFF, MAX_BODY_BYTES, MAX_LINKS, MAX_QUEUED_BYTES, MAX_QUEUED_FRAMES,
-    MAX_TOTAL_QUEUED_BYTES, MAX_UNPROVED, MIN_BACKOFF, NAME, PROOF_TIMEOUT, STALL_TIMEOUT,
+    IDLE_TIMEOUT, MAX_BACKOFF, MAX_BODY_BYTES, MAX_LINKS, MAX_NAME_BYTES, MAX_QUEUED_BYTES,
+    MAX_QUEUED_FRAMES, MAX_TOTAL_QUEUED_BYTES, MAX_UNPROVED, MIN_BACKOFF, PROOF_TIMEOUT, STALL_TIMEOUT,
 };
 
 /// Bytes per read, and threshold for batching queued frames into one write.
@@ -189,7 +189,7 @@
         self: &Rc<Self>, to: &str, address: Option<SocketAddr>, channel: u8, body: impl Into<Rc<[u8]>>,
     ) {
         let body = body.into();
-        if body.len() > MAX_BODY_BYTES || to == self.name || to.is_empty() || to.len() > NAME {
+        if body.len() > MAX_BODY_BYTES || to == self.name || to.is_empty() || to.len() > MAX_NAME_BYTES {
             return;
         }
         let Some(peer) = self.peer(to) else { return };
--- a/crates/sandgap-fleet/src/members.rs
+++ b/crates/sandgap-fleet/src/members.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::limits::{MAX_GOSSIP_BYTES, MAX_SEEDS, MEMBERS, REJOIN_INTERVAL};
+use crate::limits::{MAX_GOSSIP_BYTES, MAX_MEMBERS, MAX_SEEDS, REJOIN_INTERVAL};
 
 /// A process of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,16 +60,16 @@
 
 /// Timing of the failure detection.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct ProbeTiming {
     /// Probe interval; longer than two round trips.
     pub probe: Duration,
     /// Time that a suspected member has to refute the suspicion.
     pub suspect: Duration,
 }
 
-impl Default for Pace {
+impl Default for ProbeTiming {
     fn default() -> Self {
-        Pace { probe: Duration::from_millis(500), suspect: Duration::from_secs(2) }
+        ProbeTiming { probe: Duration::from_millis(500), suspect: Duration::from_secs(2) }
     }
 }
 
@@ -117,21 +117,21 @@
 
 impl Members {
     /// A fleet with no other known member.
-    pub fn new(me: Identity, pace: Pace, seed: u64) -> Self {
+    pub fn new(me: Identity, timing: ProbeTiming, seed: u64) -> Self {
         let non_zero = |n| NonZeroUsize::new(n).expect("not zero");
         let periodic =
             |frequency, members| Some(PeriodicParams { frequency, num_members: non_zero(members) });
         let config = Config {
-            probe_period: pace.probe,
-            probe_rtt: pace.probe / 3,
-            suspect_to_down_after: pace.suspect,
+            probe_period: timing.probe,
+            probe_rtt: timing.probe / 3,
+            suspect_to_down_after: timing.suspect,
             max_packet_size: non_zero(MAX_GOSSIP_BYTES),
             notify_down_members: true,
-            periodic_announce: periodic(pace.probe * 20, 1),
+            periodic_announce: periodic(timing.probe * 20, 1),
             // Finds partitioned members again soon after the partition has healed.
-            periodic_announce_to_down_members: periodic(pace.probe * 4, 2),
+            periodic_announce_to_down_members: periodic(timing.probe * 4, 2),
             // Gossiping more often would cost a proxy more than it gains: membership only decides which peers to contact.
-            periodic_gossip: periodic(pace.probe, 2),
+            periodic_gossip: periodic(timing.probe, 2),
             ..Config::simple()
         };
         let engine = Foca::new(me.clone(), config, StdRng::seed_from_u64(seed), PostcardCodec);
@@ -168,8 +168,8 @@
     }
 
     /// Handles another member's message. A malformed message is ignored, as if it had been lost.
-    pub fn hear(&mut self, now: Time, bytes: &[u8]) -> Vec<Gossip> {
-        if self.engine.iter_membership_state().len() < MEMBERS {
+    pub fn handle_message(&mut self, now: Time, bytes: &[u8]) -> Vec<Gossip> {
+        if self.engine.iter_membership_state().len() < MAX_MEMBERS {
             let _ = self.engine.handle_data(bytes, &mut self.out);
         }
         self.collect(now)
@@ -182,7 +182,7 @@
     }
 
     /// Runs all timers that are due.
-    pub fn fire(&mut self, now: Time) -> Vec<Gossip> {
+    pub fn run_due_timers(&mut self, now: Time) -> Vec<Gossip> {
         let mut out = Vec::new();
         while self.timers.peek().is_some_and(|Reverse(due)| due.at <= now) {
             let Some(Reverse(due)) = self.timers.pop() else { break };
--- a/crates/sandgap-fleet/src/members/tests.rs
+++ b/crates/sandgap-fleet/src/members/tests.rs
@@ -26,8 +26,9 @@
 
 impl Network {
     fn new(size: usize, seed: u64) -> Self {
-        let members =
-            (0..size).map(|n| Members::new(identity(n, 1), Pace::default(), seed ^ n as u64)).collect();
+        let members = (0..size)
+            .map(|n| Members::new(identity(n, 1), ProbeTiming::default(), seed ^ n as u64))
+            .collect();
         let rng = fastrand::Rng::with_seed(seed);
         let (now, partitioned) = (Time::ZERO, BTreeSet::new());
         let mut network =
@@ -61,10 +62,10 @@
             self.now = at;
             if arrival == Some(at) {
                 let Some(Reverse((_, _, to, bytes))) = self.in_flight.pop() else { break };
-                let out = self.members[to].hear(at, &bytes);
+                let out = self.members[to].handle_message(at, &bytes);
                 self.send(to, out);
             } else if let Some((_, n)) = timer {
-                let out = self.members[n].fire(at);
+                let out = self.members[n].run_due_timers(at);
                 self.send(n, out);
             }
         }
@@ -119,7 +120,7 @@
 fn a_restarted_process_replaces_the_previous_one() {
     let mut network = Network::new(4, 4);
     network.run(SECONDS(10));
-    network.members[3] = Members::new(identity(3, 2), Pace::default(), 9);
+    network.members[3] = Members::new(identity(3, 2), ProbeTiming::default(), 9);
     let announcement = network.members[3].join(network.now, "p1", identity(1, 0).address);
     network.send(3, announcement);
     network.run(SECONDS(10));
@@ -139,13 +140,13 @@
 
 #[test]
 fn random_bytes_are_ignored() {
-    let mut members = Members::new(identity(0, 1), Pace::default(), 1);
+    let mut members = Members::new(identity(0, 1), ProbeTiming::default(), 1);
     let mut rng = fastrand::Rng::with_seed(6);
     for length in 0..600 {
         let bytes: Vec<u8> = (0..length).map(|_| rng.u8(..)).collect();
-        members.hear(Time::ZERO, &bytes);
+        members.handle_message(Time::ZERO, &bytes);
     }
-    assert!(members.present().len() <= 1 + MEMBERS);
+    assert!(members.present().len() <= 1 + MAX_MEMBERS);
     assert_eq!(members.present().iter().filter(|m| m.name == "p0").count(), 1);
 }
 
--- a/crates/sandgap-lab/src/agree/simulation.rs
+++ b/crates/sandgap-lab/src/agree/simulation.rs
@@ -334,7 +334,7 @@
     /// The process token under which a process may act, and until when.
     fn token(node: &Node, now: Nanos) -> Option<(Life, Nanos)> {
         let holder = node.agent.as_ref()?.holder()?;
-        let until = holder.right(node.host.clock.local(now))?.until();
+        let until = holder.permission(node.host.clock.local(now))?.until();
         Some((holder.life()?, node.host.clock.shown(until)))
     }
 
@@ -378,7 +378,8 @@
         }
         let node = &mut self.nodes[n];
         let local = node.host.clock.local(now);
-        let right = node.agent.as_ref().and_then(|a| a.take(local)).map(|t| (t.version, t.right.until()));
+        let right =
+            node.agent.as_ref().and_then(|a| a.take(local)).map(|t| (t.version, t.permission.until()));
         let right = right.map(|(version, until)| (version, node.host.clock.shown(until)));
         let before = node.right.take();
         if let Some((version, from, until)) = before {
@@ -558,7 +559,8 @@
                     "p{n} acts on version {acting} (lease: {lease}) after recovery, but {standing} is in force"
                 ));
             }
-            if agent.holder().is_none_or(|h| h.right(node.host.clock.local(self.events.now())).is_none()) {
+            if agent.holder().is_none_or(|h| h.permission(node.host.clock.local(self.events.now())).is_none())
+            {
                 failures.push(format!("p{n} has no valid process token after recovery"));
             }
             if n < self.setup.voters {
--- a/crates/sandgap-lab/src/takeover/simulation.rs
+++ b/crates/sandgap-lab/src/takeover/simulation.rs
@@ -177,7 +177,7 @@
         for (n, node) in self.nodes.iter().enumerate() {
             let local = node.host.clock.local(self.events.now());
             let Some(process) = &node.process else { continue };
-            if process.agent.holder().is_none_or(|h| h.right(local).is_none()) {
+            if process.agent.holder().is_none_or(|h| h.permission(local).is_none()) {
                 self.checker.violations.push(format!("p{n} has no valid process token after recovery"));
             }
             if process.agent.voter().is_some_and(|v| !v.machine().lives().estates().is_empty()) {
@@ -275,7 +275,7 @@
     }
 
     fn may_act(process: &Process, local: Time) -> bool {
-        process.agent.holder().is_some_and(|h| h.right(local).is_some())
+        process.agent.holder().is_some_and(|h| h.permission(local).is_some())
     }
 
     fn timer(&mut self, n: usize, incarnation: u32) {
--- a/crates/sandgap-rig/src/scale/hollow.rs
+++ b/crates/sandgap-rig/src/scale/hollow.rs
@@ -11,7 +11,7 @@
 use sandgap_agree::{Agent, Output, Version};
 use sandgap_fleet::frame::Key;
 use sandgap_fleet::link::{Incoming, Links};
-use sandgap_fleet::members::{Gossip, Pace};
+use sandgap_fleet::members::{Gossip, ProbeTiming};
 use sandgap_fleet::{Identity, Members};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -190,7 +190,7 @@
         tokio::task::spawn_local(links.clone().serve(listener));
         Ok(Rc::new(RefCell::new(Hollow {
             agent: Agent::new(now(), &name, terms, setup.voters.clone(), seed),
-            members: Members::new(me, Pace::default(), seed),
+            members: Members::new(me, ProbeTiming::default(), seed),
             name,
             links,
             incoming,
@@ -217,7 +217,7 @@
 
     fn run_due_timers(&mut self) {
         let at = now();
-        let gossip = self.members.fire(at);
+        let gossip = self.members.run_due_timers(at);
         self.send_gossip(gossip);
         if self.agent.next_due() <= at {
             let others = self.members.present().into_iter().map(|m| m.name);
@@ -236,7 +236,7 @@
         let Incoming { from, channel, body } = incoming;
         match channel {
             MEMBERSHIP_CHANNEL => {
-                let gossip = self.members.hear(now(), &body);
+                let gossip = self.members.handle_message(now(), &body);
                 self.send_gossip(gossip);
             }
             RULES_CHANNEL => {
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -12,7 +12,7 @@
 use sandgap_agree::words::Word;
 use sandgap_agree::{Agent, Output, Rulebook, Version};
 use sandgap_fleet::link::{Incoming, Links};
-use sandgap_fleet::members::{Gossip, Pace};
+use sandgap_fleet::members::{Gossip, ProbeTiming};
 use sandgap_fleet::{Identity, Members};
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, spawn_local};
@@ -125,7 +125,7 @@
         let incarnation = now().as_millis() as u64;
         let (name, zone) = (fleet.name.clone(), fleet.zone.clone());
         let me = Identity { name, address: fleet.listen, incarnation, zone };
-        let members = Members::new(me, Pace::default(), random_u64());
+        let members = Members::new(me, ProbeTiming::default(), random_u64());
         let kept_version = fleet.kept_version_path.clone().map(KeptVersion::new);
         let watch = Watch::new(parts.clone(), agent.clone(), fleet.is_voter(), fleet.zone.clone());
         Runtime { parts, agent, fleet, members, links, incoming, disk: None, kept_version, watch }
@@ -217,7 +217,7 @@
 
     fn run_timers(&mut self) {
         let at = now();
-        let gossip = self.members.fire(at);
+        let gossip = self.members.run_due_timers(at);
         self.send_gossip(gossip);
         if self.agent.borrow().next_due() <= at {
             let others = self.members.present().into_iter().map(|m| m.name);
@@ -233,7 +233,7 @@
         let Incoming { from, channel, body } = incoming;
         match channel {
             MEMBERS_CHANNEL => {
-                let gossip = self.members.hear(now(), &body);
+                let gossip = self.members.handle_message(now(), &body);
                 self.send_gossip(gossip);
             }
             RULES_CHANNEL => {
--- a/crates/sandgap/src/settings/fleet.rs
+++ b/crates/sandgap/src/settings/fleet.rs
@@ -7,7 +7,7 @@
 use sandgap_agree::Terms;
 use sandgap_fleet::Drift;
 use sandgap_fleet::frame::Key;
-use sandgap_fleet::limits::NAME;
+use sandgap_fleet::limits::MAX_NAME_BYTES;
 
 use super::check::Reader;
 use super::{File, check_unique};
@@ -22,8 +22,9 @@
         return None;
     };
     let name = file.proxy.name.clone();
-    for name in file.voter.iter().map(|v| &v.name).chain([&name]).filter(|n| n.len() > NAME) {
-        reader.add_without_line(format!("'{name}': a name in a fleet may have at most {NAME} bytes"));
+    for name in file.voter.iter().map(|v| &v.name).chain([&name]).filter(|n| n.len() > MAX_NAME_BYTES) {
+        reader
+            .add_without_line(format!("'{name}': a name in a fleet may have at most {MAX_NAME_BYTES} bytes"));
     }
     check_unique("voter", file.voter.iter().map(|v| v.name.as_str()), reader);
     check_unique("way", file.way.iter().map(|w| w.to.as_str()), reader);
