--- a/crates/sandgap-agree/src/agent.rs
+++ b/crates/sandgap-agree/src/agent.rs
@@ -12,12 +12,12 @@
 use crate::lives::{Enrolled, Epoch, Life, drawn};
 use crate::log::{Damaged, Saved, Write};
 use crate::machine::Proposal;
-use crate::rider::{Riders, Tag, Told};
+use crate::messages::{Ask, Grant, Message, RulesState, VoterChange};
+use crate::rider::{RiderMessages, Riders, Tag};
 use crate::rulebook::{Rulebook, Version};
 use crate::tenure::{Holder, Turn};
 use crate::terms::Terms;
 use crate::voter::{Action, Voter};
-use crate::words::{Ask, Grant, Seating, Standing, Word};
 
 /// Lease requests per T.
 const ASKS_PER_LEASE: u32 = 4;
@@ -31,7 +31,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Send a message to a proxy, with its address if it is known here.
-    Say(String, Option<SocketAddr>, Word),
+    Say(String, Option<SocketAddr>, Message),
     /// Write this to the voter's disk, and call [`Agent::written`] with its number.
     Write(Write),
     /// Check whether this proxy can use the version, and call [`Agent::checked`].
@@ -41,7 +41,7 @@
     /// The enrolment of this process, or the membership list, has changed.
     Turn(Turn),
     /// The messages of the log's riders to this proxy, which came with a grant.
-    Told(Told),
+    Told(RiderMessages),
     /// Log a message.
     Note(String),
 }
@@ -65,12 +65,12 @@
     /// State of the pseudorandom choice of a relaying proxy.
     draw: u64,
     /// Messages to this proxy itself.
-    own_messages: VecDeque<Word>,
+    own_messages: VecDeque<Message>,
     /// Lease requests relayed since the last own one.
     relayed: usize,
     out: VecDeque<Output>,
     /// The last messages of riders.
-    last_told: Told,
+    last_rider_messages: RiderMessages,
     /// The address for which this voter requests a new seat, and when it next does so.
     rebuild: Option<(SocketAddr, Time)>,
 }
@@ -96,7 +96,7 @@
             own_messages: VecDeque::new(),
             relayed: 0,
             out: VecDeque::new(),
-            last_told: Told::new(),
+            last_rider_messages: RiderMessages::new(),
             rebuild: None,
         }
     }
@@ -155,14 +155,14 @@
 
     /// Reports that a proxy refuses connections.
     pub fn missed(&mut self, now: Time, name: &str) {
-        self.send_to_voter(Word::Missed(name.to_owned()));
+        self.send_to_voter(Message::Unreachable(name.to_owned()));
         self.deliver_own(now);
     }
 
-    fn send_to_voter(&mut self, word: Word) {
+    fn send_to_voter(&mut self, message: Message) {
         if let Some((voter, address)) = self.voters.get(self.voter_index % self.voters.len().max(1)).cloned()
         {
-            self.send(voter, Some(address), word);
+            self.send(voter, Some(address), message);
         }
     }
 
@@ -227,10 +227,14 @@
             return;
         }
         self.rebuild = Some((address, now + self.terms.span.bound));
-        let seating = Seating::Rebuild { name: self.name.clone(), address, id: voter.seat() };
+        let change = VoterChange::Rebuild { name: self.name.clone(), address, id: voter.seat() };
         for (name, address) in self.voters.clone() {
             if name != self.name {
-                self.out.push_back(Output::Say(name, Some(address), Word::Seat(0, seating.clone())));
+                self.out.push_back(Output::Say(
+                    name,
+                    Some(address),
+                    Message::ChangeVoters(0, change.clone()),
+                ));
             }
         }
     }
@@ -256,25 +260,25 @@
         let ask = Ask { number, origin: None, report };
         // Entries to propose go ahead of the lease request, so that its grant may already reflect them.
         for entry in self.follower.holder().map(Holder::entries_to_propose).unwrap_or_default() {
-            self.send(voter.clone(), Some(address), Word::Life(entry));
+            self.send(voter.clone(), Some(address), Message::Life(entry));
         }
-        self.send(voter, Some(address), Word::Ask(ask.clone()));
+        self.send(voter, Some(address), Message::Ask(ask.clone()));
         if self.unanswered > UNANSWERED_BEFORE_RELAY && !self.others.is_empty() {
             // Both requests have the same number: the first grant counts.
             self.draw = drawn(self.draw);
             let at = (self.draw >> 33) as usize % self.others.len();
             let other = self.others[at].clone();
-            self.send(other, None, Word::Ask(ask));
+            self.send(other, None, Message::Ask(ask));
         }
     }
 
-    fn send(&mut self, to: String, address: Option<SocketAddr>, word: Word) {
+    fn send(&mut self, to: String, address: Option<SocketAddr>, message: Message) {
         if to == self.name {
-            self.own_messages.push_back(word);
+            self.own_messages.push_back(message);
         } else {
             let known = || self.voters.iter().find(|(name, _)| *name == to).map(|(_, a)| *a);
             let address = address.or_else(known);
-            self.out.push_back(Output::Say(to, address, word));
+            self.out.push_back(Output::Say(to, address, message));
         }
     }
 
@@ -285,63 +289,66 @@
     /// Delivers messages between the parts of this proxy.
     fn deliver_own(&mut self, now: Time) {
         let name = self.name.clone();
-        while let Some(word) = self.own_messages.pop_front() {
-            self.dispatch(now, &name, word);
+        while let Some(message) = self.own_messages.pop_front() {
+            self.dispatch(now, &name, message);
         }
     }
 
     /// Processes a message from another proxy.
-    pub fn hear(&mut self, now: Time, from: &str, word: Word) {
-        self.dispatch(now, from, word);
+    pub fn hear(&mut self, now: Time, from: &str, message: Message) {
+        self.dispatch(now, from, message);
         self.deliver_own(now);
     }
 
-    fn dispatch(&mut self, now: Time, from: &str, word: Word) {
-        match word {
-            Word::Raft(seat, bytes) => self.with_voter(|v, out| v.receive(now, from, seat, &bytes, out)),
-            Word::Ask(ask) => self.handle_ask(now, from, ask),
-            Word::Grant(grant) => self.handle_grant(now, from, grant),
-            Word::News(standing) => self.handle_news(now, from, &standing),
-            Word::Fetch(version) => self.handle_fetch(from, version),
-            Word::Book(version, bytes) => {
+    fn dispatch(&mut self, now: Time, from: &str, message: Message) {
+        match message {
+            Message::Raft(seat, bytes) => self.with_voter(|v, out| v.receive(now, from, seat, &bytes, out)),
+            Message::Ask(ask) => self.handle_ask(now, from, ask),
+            Message::Grant(grant) => self.handle_grant(now, from, grant),
+            Message::News(standing) => self.handle_news(now, from, &standing),
+            Message::Fetch(version) => self.handle_fetch(from, version),
+            Message::Book(version, bytes) => {
                 let steps = self.follower.receive_book(version, &bytes);
                 self.carry_out_steps(now, from, steps);
             }
-            Word::Reports(all) => self.with_voter(|v, out| v.reports(now, all, out)),
-            Word::Publish(proposal) => self.handle_publish(now, from, proposal),
-            Word::Query(number) => {
+            Message::Reports(all) => self.with_voter(|v, out| v.reports(now, all, out)),
+            Message::Publish(proposal) => self.handle_publish(now, from, proposal),
+            Message::Query(number) => {
                 if let Some(voter) = &self.voter {
                     let status = voter.status(now);
-                    self.send(from.to_owned(), None, Word::Status(number, status));
+                    self.send(from.to_owned(), None, Message::Status(number, status));
                 }
             }
-            Word::Seat(number, seating) => {
+            Message::ChangeVoters(number, change) => {
                 let mut why = "this proxy is not a voter".to_owned();
-                self.with_voter(|v, out| why = v.seat_change(now, &seating, out));
-                self.send(from.to_owned(), None, Word::Seated(number, why));
+                self.with_voter(|v, out| why = v.seat_change(now, &change, out));
+                self.send(from.to_owned(), None, Message::VotersChanged(number, why));
             }
-            Word::Life(entry) => self.with_voter(|v, out| v.propose_life_entry(now, entry, out)),
-            Word::Missed(name) => self.with_voter(|v, out| v.report_unreachable(now, name, out)),
-            Word::FetchRoll(since) => self.handle_fetch_roll(from, since),
-            Word::Roll(roll, all, departed) => self.handle_roll(roll, all, departed),
-            Word::Heir => {
+            Message::Life(entry) => self.with_voter(|v, out| v.propose_life_entry(now, entry, out)),
+            Message::Unreachable(name) => self.with_voter(|v, out| v.report_unreachable(now, name, out)),
+            Message::FetchMembers(since) => self.handle_fetch_members(from, since),
+            Message::Members(roll, all, departed) => self.handle_members(roll, all, departed),
+            Message::BecameSuccessor => {
                 self.next_ask = now;
                 self.fire(now);
             }
-            Word::Put(number, tag, entry) => {
+            Message::ProposeRiderEntry(number, tag, entry) => {
                 let is_voter = self.voter.is_some();
                 self.with_voter(|v, out| v.propose_rider_entry(now, from, number, tag, entry, out));
                 if !is_voter {
                     let why = format!("'{}' is not a voter", self.name);
-                    self.send(from.to_owned(), None, Word::Unput(number, why));
+                    self.send(from.to_owned(), None, Message::RiderRefused(number, why));
                 }
             }
-            Word::Look(number, tag, question) => {
+            Message::QueryRider(number, tag, question) => {
                 self.with_voter(|v, out| v.query_rider(now, from, number, tag, &question, out));
             }
             // Answers to an operator's commands; a proxy itself does not send those.
-            Word::Came(..) | Word::Unput(..) | Word::Seen(..) => {}
-            Word::Published(..) | Word::Unpublished(..) | Word::Status(..) | Word::Seated(..) => {}
+            Message::RiderEntryApplied(..) | Message::RiderRefused(..) | Message::RiderAnswer(..) => {}
+            Message::Published(..)
+            | Message::Unpublished(..)
+            | Message::Status(..)
+            | Message::VotersChanged(..) => {}
         }
     }
 
@@ -355,15 +362,15 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(to, word) => self.send(to, None, word),
+                Action::Send(to, message) => self.send(to, None, message),
                 Action::Write(write) => self.out.push_back(Output::Write(write)),
                 Action::Note(text) => self.log(text),
-                Action::Standing => {
+                Action::RulesState => {
                     let Some(voter) = &self.voter else { continue };
                     let standing = voter.standing();
                     let clients: Vec<String> = voter.clients().cloned().collect();
                     for client in clients.into_iter().chain([self.name.clone()]) {
-                        self.send(client, None, Word::News(standing.clone()));
+                        self.send(client, None, Message::News(standing.clone()));
                     }
                 }
             }
@@ -384,13 +391,13 @@
             self.relayed += 1;
             let (voter, address) = self.voters[self.voter_index % self.voters.len()].clone();
             let ask = Ask { number, origin: Some(from.to_owned()), report };
-            self.send(voter, Some(address), Word::Ask(ask));
+            self.send(voter, Some(address), Message::Ask(ask));
         }
     }
 
     fn handle_grant(&mut self, now: Time, from: &str, grant: Grant) {
         if let Some(origin) = grant.origin.clone().filter(|o| *o != self.name) {
-            return self.send(origin, None, Word::Grant(Grant { origin: None, ..grant }));
+            return self.send(origin, None, Message::Grant(Grant { origin: None, ..grant }));
         }
         self.unanswered = 0;
         if !grant.voters.is_empty() && grant.voters != self.voters {
@@ -402,12 +409,12 @@
         let mut turns = Vec::new();
         let steps = self.follower.granted(now, &grant, &mut turns);
         self.push_turns(now, turns);
-        if grant.told != self.last_told {
-            self.last_told.clone_from(&grant.told);
-            self.out.push_back(Output::Told(grant.told));
+        if grant.rider_messages != self.last_rider_messages {
+            self.last_rider_messages.clone_from(&grant.rider_messages);
+            self.out.push_back(Output::Told(grant.rider_messages));
         }
         if let Some(since) = self.follower.holder().and_then(Holder::outdated_roll) {
-            self.send(from.to_owned(), None, Word::FetchRoll(since));
+            self.send(from.to_owned(), None, Message::FetchMembers(since));
         }
         self.carry_out_steps(now, from, steps);
     }
@@ -421,17 +428,17 @@
         }
     }
 
-    fn handle_fetch_roll(&mut self, from: &str, since: u64) {
+    fn handle_fetch_members(&mut self, from: &str, since: u64) {
         let Some(lives) = self.voter.as_ref().map(|v| v.machine().lives()).filter(|l| l.roll() > since)
         else {
             return;
         };
         let list = |of: &BTreeMap<Life, Enrolled>| of.iter().map(|(l, e)| (*l, e.clone())).collect();
-        let word = Word::Roll(lives.roll(), list(lives.enrolled()), list(lives.departed()));
-        self.send(from.to_owned(), None, word);
+        let message = Message::Members(lives.roll(), list(lives.enrolled()), list(lives.departed()));
+        self.send(from.to_owned(), None, message);
     }
 
-    fn handle_roll(&mut self, roll: u64, all: Vec<(Life, Enrolled)>, departed: Vec<(Life, Enrolled)>) {
+    fn handle_members(&mut self, roll: u64, all: Vec<(Life, Enrolled)>, departed: Vec<(Life, Enrolled)>) {
         let mut turns = Vec::new();
         if let Some(holder) = self.follower.holder_mut() {
             holder.receive_roll(roll, all, departed, &mut turns);
@@ -439,7 +446,7 @@
         self.out.extend(turns.into_iter().map(Output::Turn));
     }
 
-    fn handle_news(&mut self, now: Time, from: &str, standing: &Standing) {
+    fn handle_news(&mut self, now: Time, from: &str, standing: &RulesState) {
         let steps = self.follower.receive_news(now, standing);
         self.carry_out_steps(now, from, steps);
     }
@@ -447,7 +454,7 @@
     fn handle_fetch(&mut self, from: &str, version: Version) {
         let kept = self.voter.as_ref().and_then(|v| v.machine().version(version)).map(|r| r.book().to_vec());
         if let Some(bytes) = kept.or_else(|| self.follower.bytes(version)) {
-            self.send(from.to_owned(), None, Word::Book(version, bytes));
+            self.send(from.to_owned(), None, Message::Book(version, bytes));
         }
     }
 
@@ -457,13 +464,13 @@
         }
         let names: Vec<&str> = self.voters.iter().map(|(name, _)| name.as_str()).collect();
         let why = format!("'{}' is not a voter; the voters are {}", self.name, names.join(", "));
-        self.send(from.to_owned(), None, Word::Unpublished(proposal.id, why));
+        self.send(from.to_owned(), None, Message::Unpublished(proposal.id, why));
     }
 
     fn carry_out_steps(&mut self, now: Time, from: &str, steps: Vec<Step>) {
         for step in steps {
             match step {
-                Step::Fetch(version) => self.send(from.to_owned(), None, Word::Fetch(version)),
+                Step::Fetch(version) => self.send(from.to_owned(), None, Message::Fetch(version)),
                 Step::Check(version, book) => self.out.push_back(Output::Check(version, book)),
                 Step::Act(version, book) => {
                     self.out.push_back(Output::Act(version, book));
--- a/crates/sandgap-agree/src/follower.rs
+++ b/crates/sandgap-agree/src/follower.rs
@@ -13,11 +13,11 @@
 use sandgap_fleet::lease::{Lease, LeasePermission, RequestTracker};
 
 use crate::limits::{MAX_RIDER_MESSAGE_BYTES, MAX_RIDER_MESSAGES};
-use crate::rider::{Tag, Told};
+use crate::messages::{Grant, Report, RulesState};
+use crate::rider::{RiderMessages, Tag};
 use crate::rulebook::{Digest, Rulebook, Version, digest};
 use crate::tenure::{Holder, Turn};
 use crate::terms::Span;
-use crate::words::{Grant, Report, Standing};
 
 /// Most rulebooks held: that of the active version, of the one in force, of the pending one, and an earlier one.
 const MAX_HELD_BOOKS: usize = 4;
@@ -57,7 +57,7 @@
     span: Span,
     tracker: RequestTracker,
     /// The last known version in force and pending version.
-    known: Standing,
+    known: RulesState,
     /// The version acted on; 0 for none.
     acting: Version,
     /// The lease on the version acted on.
@@ -74,7 +74,7 @@
     /// The enrolment of this process, if it wants one.
     holder: Option<Holder>,
     /// Messages to the riders of the log, sent with each lease request.
-    rider_messages: Told,
+    rider_messages: RiderMessages,
 }
 
 impl Follower {
@@ -83,7 +83,7 @@
         Follower {
             span,
             tracker: RequestTracker::new(first),
-            known: Standing::default(),
+            known: RulesState::default(),
             acting: 0,
             lease: Lease::default(),
             ahead_lease: Lease::default(),
@@ -92,7 +92,7 @@
             looked: None,
             refused: 0,
             holder: None,
-            rider_messages: Told::new(),
+            rider_messages: RiderMessages::new(),
         }
     }
 
@@ -128,16 +128,16 @@
         let lease_ms = u32::try_from(self.lease.left(now).as_millis()).unwrap_or(u32::MAX);
         let looked = self.looked.clone();
         let draw = self.holder.as_ref().map_or(0, Holder::draw);
-        let (acting, refused, told) = (self.acting, self.refused, self.rider_messages.clone());
-        let report = Report { serial: number, acting, looked, lease_ms, refused, draw, told };
+        let (acting, refused, rider_messages) = (self.acting, self.refused, self.rider_messages.clone());
+        let report = Report { serial: number, acting, looked, lease_ms, refused, draw, rider_messages };
         (number, report)
     }
 
     /// Processes a grant.
     pub fn granted(&mut self, now: Time, grant: &Grant, turns: &mut Vec<Turn>) -> Vec<Step> {
         let Some(asked) = self.tracker.take_request(grant.number) else { return Vec::new() };
-        if let (Some(holder), Some(tenure)) = (&mut self.holder, &grant.tenure) {
-            holder.granted(asked, tenure, self.span, turns);
+        if let (Some(holder), Some(enrolment)) = (&mut self.holder, &grant.enrolment) {
+            holder.granted(asked, enrolment, self.span, turns);
         }
         let steps = self.receive_news(now, &grant.standing);
         let standing = &grant.standing;
@@ -152,7 +152,7 @@
 
     /// Processes news of the version in force and the pending one. It grants no lease; news from earlier in the log is
     /// ignored.
-    pub fn receive_news(&mut self, now: Time, standing: &Standing) -> Vec<Step> {
+    pub fn receive_news(&mut self, now: Time, standing: &RulesState) -> Vec<Step> {
         if standing.index < self.known.index {
             return Vec::new();
         }
@@ -285,7 +285,7 @@
     }
 
     /// The last known version in force and pending version.
-    pub fn known(&self) -> &Standing {
+    pub fn known(&self) -> &RulesState {
         &self.known
     }
 
@@ -323,17 +323,24 @@
         (bytes, digest)
     }
 
-    fn standing(index: u64, version: Version) -> Standing {
-        Standing { index, version, digest: book(version as u32).1, closed: false, pending: None }
+    fn standing(index: u64, version: Version) -> RulesState {
+        RulesState { index, version, digest: book(version as u32).1, closed: false, pending: None }
     }
 
     fn follower() -> Follower {
         Follower::new(Span { bound: ms(T), drift: Drift::ppm(0) }, 40)
     }
 
-    fn grant(f: &mut Follower, asked: u64, now: u64, standing: Standing) -> Vec<Step> {
+    fn grant(f: &mut Follower, asked: u64, now: u64, standing: RulesState) -> Vec<Step> {
         let (number, _) = f.ask(ms(asked));
-        let grant = Grant { number, origin: None, standing, voters: Vec::new(), tenure: None, told: vec![] };
+        let grant = Grant {
+            number,
+            origin: None,
+            standing,
+            voters: Vec::new(),
+            enrolment: None,
+            rider_messages: vec![],
+        };
         f.granted(ms(now), &grant, &mut Vec::new())
     }
 
@@ -387,7 +394,7 @@
         let mut f = follower();
         grant(&mut f, 0, 5, standing(1, 1));
         act(&mut f, 10, 1);
-        f.receive_news(ms(20), &Standing { closed: true, ..standing(9, 1) });
+        f.receive_news(ms(20), &RulesState { closed: true, ..standing(9, 1) });
         assert_eq!(version(&f, 21), None);
         f.receive_news(ms(30), &standing(8, 1));
         grant(&mut f, 31, 32, standing(8, 1));
@@ -427,7 +434,7 @@
         for v in 1..40 {
             f.receive_news(
                 ms(v),
-                &Standing { pending: Some((v + 1, book(v as u32 + 1).1)), ..standing(v, v) },
+                &RulesState { pending: Some((v + 1, book(v as u32 + 1).1)), ..standing(v, v) },
             );
             f.receive_book(v, &book(v as u32).0);
             f.checked(ms(v), v, Ok(()));
--- a/crates/sandgap-agree/src/lib.rs
+++ b/crates/sandgap-agree/src/lib.rs
@@ -12,13 +12,13 @@
 pub mod lives;
 pub mod log;
 pub mod machine;
+pub mod messages;
 pub mod rider;
 pub mod rulebook;
 pub mod store;
 pub mod tenure;
 pub mod terms;
 pub mod voter;
-pub mod words;
 
 pub use agent::{Agent, Output};
 pub use contradict::{Contradiction, contradicts};
--- a/crates/sandgap-agree/src/log.rs
+++ b/crates/sandgap-agree/src/log.rs
@@ -9,7 +9,7 @@
 
 use crate::limits::RETAINED_ENTRIES;
 use crate::machine::{Entry as AgreedEntry, Machine, Seat};
-use crate::rider::{Riders, Told, Unreadable};
+use crate::rider::{RiderMessages, Riders, Unreadable};
 
 /// Numbers that a recovered voter skips, to stay clear of whatever a lost majority may have assigned.
 const RECOVERY_GAP: u64 = 1_000_000;
@@ -65,7 +65,7 @@
     /// Rules, voters and lives.
     pub machine: Machine,
     /// The states of the riders, by tag.
-    pub parts: Told,
+    pub parts: RiderMessages,
 }
 
 /// The first bytes of a snapshot. Snapshots of the first format have no mark, and none can begin with these bytes, as
@@ -77,7 +77,7 @@
 impl Saved {
     /// The initial store of a voter of a new fleet: its seat, and the set of voters.
     pub fn founding(seat: u64, seats: &BTreeMap<u64, Seat>) -> Self {
-        let image = Image { machine: Machine::new(seats.clone()), parts: Told::new() };
+        let image = Image { machine: Machine::new(seats.clone()), parts: RiderMessages::new() };
         let snapshot = encode_snapshot(&image, 1, 1, conf_state(seats));
         Saved { seat, snapshot: Some((1, encode_proto(&snapshot))), ..Saved::default() }
     }
@@ -110,7 +110,7 @@
         }
         machine.seats = BTreeMap::from([(self.seat, seat)]);
         machine.skip_numbers(RECOVERY_GAP);
-        riders.skip(RECOVERY_GAP);
+        riders.skip_numbers(RECOVERY_GAP);
         let term = log.entries.back().map_or(log.preceding.1, |e| e.term).max(log.hard.term);
         let (index, term) = (log.last() + RECOVERY_GAP, term + RECOVERY_GAP);
         let conf = conf_state(&machine.seats);
@@ -177,7 +177,7 @@
         Some(Some((format, _))) if *format > SNAPSHOT_FORMAT => Err(Damaged::Later(*format)),
         Some(_) => Err(broken),
         None => match postcard::take_from_bytes(data) {
-            Ok((machine, [])) => Ok(Image { machine, parts: Told::new() }),
+            Ok((machine, [])) => Ok(Image { machine, parts: RiderMessages::new() }),
             _ => Err(broken),
         },
     }
--- a/crates/sandgap-agree/src/words.rs
+++ b/crates/sandgap-agree/src/messages.rs
@@ -7,12 +7,12 @@
 
 use crate::lives::{Claim, Enrolled, Life, LifeEntry};
 use crate::machine::{Proposal, Verdict};
-use crate::rider::{Tag, Told};
+use crate::rider::{RiderMessages, Tag};
 use crate::rulebook::{Digest, Version};
 
 /// The version in force and the pending one, as committed by a majority.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct RulesState {
     /// The index up to which the log had been applied: of two states the one with the higher index is newer.
     pub index: u64,
     /// The version in force; 0 before the first.
@@ -41,7 +41,8 @@
     /// The random number that identifies its process, if it is or wants to be enrolled; else 0.
     pub draw: u64,
     /// Its messages to the riders of the log.
-    pub told: Told,
+    #[serde(rename = "told")]
+    pub rider_messages: RiderMessages,
 }
 
 /// A lease request.
@@ -63,18 +64,18 @@
     /// The proxy that it is for, if another proxy relays it.
     pub origin: Option<String>,
     /// The version in force and the pending one.
-    pub standing: Standing,
+    pub standing: RulesState,
     /// The voters, with their addresses.
     pub voters: Vec<(String, SocketAddr)>,
     /// The enrolment of the process that asked, if its report has a `draw`.
-    pub tenure: Option<Tenure>,
+    pub enrolment: Option<EnrolmentState>,
     /// The messages of the log's riders to the proxy that asked.
-    pub told: Told,
+    pub rider_messages: RiderMessages,
 }
 
 /// The enrolment of a process, at some moment after it asked.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tenure {
+pub struct EnrolmentState {
     /// Its life, if it is enrolled.
     pub life: Option<Life>,
     /// The ended lives for which it acts.
@@ -85,7 +86,7 @@
 
 /// A member, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct MemberStatus {
     /// Its name.
     pub name: String,
     /// Time since its last report, in ms.
@@ -96,7 +97,7 @@
 
 /// A version, as `history` shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct VersionSummary {
     /// Its number.
     pub version: Version,
     /// The digest of its rulebook.
@@ -119,18 +120,18 @@
     /// The leader, as far as it knows.
     pub leader: Option<String>,
     /// The version in force and the pending one.
-    pub standing: Standing,
+    pub standing: RulesState,
     /// The voters.
     pub voters: Vec<(String, SocketAddr)>,
     /// The members, if the voter that answers is the leader.
-    pub members: Vec<Seen>,
+    pub members: Vec<MemberStatus>,
     /// The versions that are kept.
-    pub history: Vec<Line>,
+    pub history: Vec<VersionSummary>,
 }
 
 /// A change of the set of voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seating {
+pub enum VoterChange {
     /// Adds a voter.
     Add(String, SocketAddr),
     /// Removes a voter.
@@ -148,7 +149,7 @@
 
 /// A message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// Between voters: the number of the receiving seat, and a message in the consensus engine's encoding.
     Raft(u64, Vec<u8>),
     /// A lease request, to a voter, or to any proxy that can reach one.
@@ -156,7 +157,7 @@
     /// The answer to a lease request.
     Grant(Grant),
     /// The version in force or the pending one has changed. Grants no lease.
-    News(Standing),
+    News(RulesState),
     /// Requests a rulebook.
     Fetch(Version),
     /// The bytes of a rulebook.
@@ -174,41 +175,41 @@
     /// The answer to a query.
     Status(u64, Status),
     /// Requests a change of the set of voters.
-    Seat(u64, Seating),
+    ChangeVoters(u64, VoterChange),
     /// The result of that change: empty on success, else the reason.
-    Seated(u64, String),
+    VotersChanged(u64, String),
     /// To a voter: a process asks to be enrolled, has ended, or has settled the requests of an ended life.
     Life(LifeEntry),
     /// To the leader: the proxy of this name refuses connections.
-    Missed(String),
+    Unreachable(String),
     /// Requests the membership list, if its number is higher than this one.
-    FetchRoll(u64),
+    FetchMembers(u64),
     /// The membership list: its number, the enrolled lives, and those that ended recently.
-    Roll(u64, Vec<(Life, Enrolled)>, Vec<(Life, Enrolled)>),
-    /// To a proxy: it has become an heir and should ask for its claims.
-    Heir,
+    Members(u64, Vec<(Life, Enrolled)>, Vec<(Life, Enrolled)>),
+    /// To a proxy: it has become a successor and should ask for its claims.
+    BecameSuccessor,
     /// Proposes an entry of a rider, under a number that the answer repeats.
-    Put(u64, Tag, Vec<u8>),
+    ProposeRiderEntry(u64, Tag, Vec<u8>),
     /// The result of applying that entry.
-    Came(u64, Vec<u8>),
+    RiderEntryApplied(u64, Vec<u8>),
     /// The entry can't be proposed or the question can't be answered, and why.
-    Unput(u64, String),
+    RiderRefused(u64, String),
     /// Queries a rider, under a number that the answer repeats.
-    Look(u64, Tag, Vec<u8>),
+    QueryRider(u64, Tag, Vec<u8>),
     /// The rider's answer, and whether the voter that gives it is the leader.
-    Seen(u64, bool, Vec<u8>),
+    RiderAnswer(u64, bool, Vec<u8>),
 }
 
-impl Word {
+impl Message {
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default() // encoding plain data can't fail
     }
 
     /// Decodes a message; `None` for invalid bytes, which the caller drops like a lost message.
-    pub fn decode(bytes: &[u8]) -> Option<Word> {
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
         match postcard::take_from_bytes(bytes) {
-            Ok((word, [])) => Some(word),
+            Ok((message, [])) => Some(message),
             _ => None,
         }
     }
--- a/crates/sandgap-agree/src/rider.rs
+++ b/crates/sandgap-agree/src/rider.rs
@@ -12,22 +12,22 @@
 
 use crate::limits::MAX_RIDER_MESSAGE_BYTES;
 use crate::machine::Machine;
+use crate::messages::Report;
 use crate::rulebook::Rulebook;
 use crate::terms::Terms;
-use crate::words::Report;
 
 /// Identifies a rider in the log and on links. A tag is never reused.
 pub type Tag = u8;
 
 /// Messages between riders and a proxy, by tag.
-pub type Told = Vec<(Tag, Vec<u8>)>;
+pub type RiderMessages = Vec<(Tag, Vec<u8>)>;
 
 /// Why the log or a snapshot can't be read by this build.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unreadable {
     /// An entry or a part of a snapshot was written by another build.
     #[error("{what} of machine {tag} was written by another build of sandgap: start the build that wrote it")]
-    Foreign {
+    OtherBuild {
         /// What can't be read.
         what: &'static str,
         /// The rider that it belongs to.
@@ -42,7 +42,7 @@
 
 /// A member's last report, and when it came.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct MemberReport {
     /// When it came, on this voter's clock.
     pub at: Time,
     /// The report.
@@ -50,7 +50,7 @@
 }
 
 /// The leader's knowledge beyond a rider's own state.
-pub struct View<'a> {
+pub struct LeaderView<'a> {
     /// The leader's clock.
     pub now: Time,
     /// Since when it has led.
@@ -60,17 +60,17 @@
     /// Rules, voters and lives.
     pub machine: &'a Machine,
     /// Members that have asked for a lease recently.
-    pub members: &'a BTreeMap<String, Known>,
+    pub members: &'a BTreeMap<String, MemberReport>,
 }
 
-impl View<'_> {
+impl LeaderView<'_> {
     /// Whether the leader has led for long enough to have a report of every member that holds a lease.
     pub fn knows_all(&self) -> bool {
         self.now >= self.led + self.terms.live()
     }
 
     /// Members that may hold a lease, as far as the leader knows.
-    pub fn live(&self) -> impl Iterator<Item = (&String, &Known)> {
+    pub fn live(&self) -> impl Iterator<Item = (&String, &MemberReport)> {
         let (now, live) = (self.now, self.terms.live());
         self.members.iter().filter(move |(_, k)| k.at + live >= now)
     }
@@ -84,7 +84,7 @@
 
 /// An entry that a rider asks the leader to propose.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
+pub enum RiderProposal {
     /// An entry for the rider itself.
     Own(Vec<u8>),
     /// New rules, and the reason. They take effect only if the rules that the rider saw are still in force.
@@ -115,25 +115,25 @@
     ///
     /// # Errors
     /// The reason why it may not.
-    fn admits(&self, entry: &[u8]) -> Result<(), String>;
+    fn check_submission(&self, entry: &[u8]) -> Result<(), String>;
 
     /// Entries that the leader should propose now. Called at each of its ticks.
-    fn lead(&mut self, view: &View) -> Vec<Wish>;
+    fn proposals(&mut self, view: &LeaderView) -> Vec<RiderProposal>;
 
     /// Answers an operator's question, as far as this voter knows.
-    fn answer(&self, question: &[u8], view: &View) -> Vec<u8>;
+    fn answer(&self, question: &[u8], view: &LeaderView) -> Vec<u8>;
 
     /// The message to a proxy that asks for a lease; empty for none.
-    fn tell(&self, proxy: &str) -> Vec<u8>;
+    fn message_for(&self, proxy: &str) -> Vec<u8>;
 
     /// Why one rulebook must not replace another at this place in the log; `None` if it may. Checked while the new one
     /// is pending, and again with the entry that would put it in force.
-    fn bars(&self, _old: &Rulebook, _new: &Rulebook) -> Option<String> {
+    fn objection(&self, _old: &Rulebook, _new: &Rulebook) -> Option<String> {
         None
     }
 
     /// Skips numbers that a lost majority may have assigned.
-    fn skip(&mut self, numbers: u64);
+    fn skip_numbers(&mut self, numbers: u64);
 }
 
 /// All riders of a log, by tag.
@@ -160,7 +160,7 @@
     }
 
     /// Encodes their states.
-    pub fn snapshot(&self) -> Told {
+    pub fn snapshot(&self) -> RiderMessages {
         self.0.iter().map(|(tag, rider)| (*tag, rider.snapshot())).collect()
     }
 
@@ -190,40 +190,40 @@
     ///
     /// # Errors
     /// The reason why it may not.
-    pub fn admits(&self, tag: Tag, entry: &[u8]) -> Result<(), String> {
+    pub fn check_submission(&self, tag: Tag, entry: &[u8]) -> Result<(), String> {
         match self.0.get(&tag) {
-            Some(rider) => rider.admits(entry),
+            Some(rider) => rider.check_submission(entry),
             None => Err(Unreadable::Unknown(tag).to_string()),
         }
     }
 
-    /// Entries that the leader should propose now, see [`Rider::lead`].
-    pub fn lead(&mut self, view: &View) -> Vec<(Tag, Wish)> {
-        let wishes = |(tag, rider): (&Tag, &mut Box<dyn Rider>)| {
+    /// Entries that the leader should propose now, see [`Rider::proposals`].
+    pub fn proposals(&mut self, view: &LeaderView) -> Vec<(Tag, RiderProposal)> {
+        let proposals = |(tag, rider): (&Tag, &mut Box<dyn Rider>)| {
             let tag = *tag;
-            rider.lead(view).into_iter().map(move |wish| (tag, wish)).collect::<Vec<_>>()
+            rider.proposals(view).into_iter().map(move |proposal| (tag, proposal)).collect::<Vec<_>>()
         };
-        self.0.iter_mut().flat_map(wishes).collect()
+        self.0.iter_mut().flat_map(proposals).collect()
     }
 
     /// Answers an operator's question; `None` for an unknown rider.
-    pub fn answer(&self, tag: Tag, question: &[u8], view: &View) -> Option<Vec<u8>> {
+    pub fn answer(&self, tag: Tag, question: &[u8], view: &LeaderView) -> Option<Vec<u8>> {
         Some(self.0.get(&tag)?.answer(question, view))
     }
 
     /// The messages to a proxy that asks for a lease; empty or oversized ones are left out.
-    pub fn tell(&self, proxy: &str) -> Told {
-        let messages = self.0.iter().map(|(tag, rider)| (*tag, rider.tell(proxy)));
+    pub fn message_for(&self, proxy: &str) -> RiderMessages {
+        let messages = self.0.iter().map(|(tag, rider)| (*tag, rider.message_for(proxy)));
         messages.filter(|(_, bytes)| !bytes.is_empty() && bytes.len() <= MAX_RIDER_MESSAGE_BYTES).collect()
     }
 
-    /// Why one rulebook must not replace another, and the rider that objects, see [`Rider::bars`].
-    pub fn bars(&self, old: &Rulebook, new: &Rulebook) -> Option<(Tag, String)> {
-        self.0.iter().find_map(|(tag, rider)| Some((*tag, rider.bars(old, new)?)))
+    /// Why one rulebook must not replace another, and the rider that objects, see [`Rider::objection`].
+    pub fn objection(&self, old: &Rulebook, new: &Rulebook) -> Option<(Tag, String)> {
+        self.0.iter().find_map(|(tag, rider)| Some((*tag, rider.objection(old, new)?)))
     }
 
-    /// See [`Rider::skip`].
-    pub fn skip(&mut self, numbers: u64) {
-        self.0.values_mut().for_each(|rider| rider.skip(numbers));
+    /// See [`Rider::skip_numbers`].
+    pub fn skip_numbers(&mut self, numbers: u64) {
+        self.0.values_mut().for_each(|rider| rider.skip_numbers(numbers));
     }
 }
--- a/crates/sandgap-agree/src/tenure.rs
+++ b/crates/sandgap-agree/src/tenure.rs
@@ -10,8 +10,8 @@
 use sandgap_fleet::lease::{Lease, LeasePermission};
 
 use crate::lives::{Claim, Enrolled, Epoch, Life, LifeEntry, drawn};
+use crate::messages::EnrolmentState;
 use crate::terms::Span;
-use crate::words::Tenure;
 
 /// The membership list: enrolled lives.
 pub type Roll = Rc<BTreeMap<Life, Enrolled>>;
@@ -78,7 +78,7 @@
     }
 
     /// Processes the grant for a lease request made at `asked`.
-    pub fn granted(&mut self, asked: Time, tenure: &Tenure, span: Span, turns: &mut Vec<Turn>) {
+    pub fn granted(&mut self, asked: Time, tenure: &EnrolmentState, span: Span, turns: &mut Vec<Turn>) {
         self.roll_outdated = tenure.roll > self.roll.0;
         match (self.life, tenure.life) {
             (None, Some(life)) if !self.leaving => {
@@ -182,7 +182,7 @@
 
     fn grant(h: &mut Holder, asked: u64, life: Option<Life>, claims: &[Claim]) -> Vec<Turn> {
         let mut turns = Vec::new();
-        h.granted(ms(asked), &Tenure { life, claims: claims.to_vec(), roll: 1 }, span(), &mut turns);
+        h.granted(ms(asked), &EnrolmentState { life, claims: claims.to_vec(), roll: 1 }, span(), &mut turns);
         turns
     }
 
--- a/crates/sandgap-agree/src/voter/lead.rs
+++ b/crates/sandgap-agree/src/voter/lead.rs
@@ -7,9 +7,9 @@
 use crate::limits::{DEPARTED_RETENTION, MAX_MEMBERS};
 use crate::lives::{Life, LifeEntry};
 use crate::machine::{Entry, Proposal};
-use crate::rider::{Known, Tag, Wish};
+use crate::messages::{Message, Report};
+use crate::rider::{MemberReport, RiderProposal, Tag};
 use crate::rulebook::{Rulebook, Version, digest};
-use crate::words::{Report, Word};
 
 /// Ticks after which a snapshot that its receiver has not acknowledged counts as lost.
 const SNAPSHOT_TIMEOUT_TICKS: u64 = 3 * ELECTION_TICKS as u64;
@@ -98,12 +98,13 @@
         self.monitor.record_ask(now, report.draw);
         // A reordered older report must not replace a later one. The numbers of a new process start at a random value,
         // so a lower number is accepted once the known report is no longer fresh.
-        let reordered = |k: &Known| report.serial < k.report.serial && now < k.at + self.terms.live() / 6;
+        let reordered =
+            |k: &MemberReport| report.serial < k.report.serial && now < k.at + self.terms.live() / 6;
         if self.members.get(&who).is_some_and(reordered) {
             return;
         }
         if self.members.len() < MAX_MEMBERS || self.members.contains_key(&who) {
-            self.members.insert(who, Known { at: now, report });
+            self.members.insert(who, MemberReport { at: now, report });
         }
     }
 
@@ -111,7 +112,7 @@
     pub(super) fn notify_heir(&mut self, life: Life, heir: Life, out: &mut Vec<Action>) {
         let Some(heir) = self.machine.lives().enrolled().get(&heir).filter(|_| self.leads()) else { return };
         out.push(Action::Note(format!("lives: '{}' is the heir to life {life}", heir.name)));
-        out.push(Action::Send(heir.name.clone(), Word::Heir));
+        out.push(Action::Send(heir.name.clone(), Message::BecameSuccessor));
     }
 
     /// Records when the pending version, and its close, were first seen here.
@@ -153,11 +154,11 @@
     pub(super) fn propose_for_riders(&mut self, now: Time) {
         let Some(led) = self.leading_since.filter(|_| self.leads()) else { return };
         let (terms, machine, members) = (&self.terms, &self.machine, &self.members);
-        let view = crate::rider::View { now, led, terms, machine, members };
-        for (tag, wish) in self.riders.lead(&view) {
-            match wish {
-                Wish::Own(entry) => self.propose_for_rider(tag, entry),
-                Wish::Rules(book, why) => self.propose_rules(tag, &book, why),
+        let view = crate::rider::LeaderView { now, led, terms, machine, members };
+        for (tag, proposal) in self.riders.proposals(&view) {
+            match proposal {
+                RiderProposal::Own(entry) => self.propose_for_rider(tag, entry),
+                RiderProposal::Rules(book, why) => self.propose_rules(tag, &book, why),
             }
         }
     }
--- a/crates/sandgap-agree/src/voter/mod.rs
+++ b/crates/sandgap-agree/src/voter/mod.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use raft::eraftpb::{ConfChangeV2, EntryType, Message, MessageType, Snapshot};
+use raft::eraftpb::{ConfChangeV2, EntryType, Message as RaftMessage, MessageType, Snapshot};
 use raft::{Config, RawNode, StateRole};
 use sandgap_fleet::Time;
 
@@ -27,10 +27,10 @@
     Damaged, Image, Log, Saved, Write, decode_proto, decode_snapshot, encode_proto, encode_snapshot,
 };
 use crate::machine::{Entry, Machine, Proposal, Verdict};
-use crate::rider::{Known, Riders, Tag, View};
+use crate::messages::{EnrolmentState, MemberStatus, Message, Report, RulesState, Status, VersionSummary};
+use crate::rider::{LeaderView, MemberReport, Riders, Tag};
 use crate::rulebook::{Rulebook, Version};
 use crate::terms::Terms;
-use crate::words::{Line, Report, Seen, Standing, Status, Tenure, Word};
 use rounds::{Round, WaitingAsk};
 
 pub use seats::fresh_seat;
@@ -53,11 +53,11 @@
 #[derive(Debug, PartialEq)]
 pub enum Action {
     /// Send a message to a proxy.
-    Send(String, Word),
+    Send(String, Message),
     /// Write this to the disk, then acknowledge its number.
     Write(Write),
     /// The version in force or the pending one has changed: notify the clients of this voter.
-    Standing,
+    RulesState,
     /// Log a message.
     Note(String),
 }
@@ -89,7 +89,7 @@
     /// Reports to pass on to the leader.
     reports: BTreeMap<String, Report>,
     /// On a leader: the last report of each proxy.
-    members: BTreeMap<String, Known>,
+    members: BTreeMap<String, MemberReport>,
     leading_since: Option<Time>,
     monitor: LifeMonitor,
     /// The tick at which something about a life was last proposed.
@@ -114,7 +114,7 @@
     /// Numbers of writes that the disk has not acknowledged, and when they were handed over.
     unacked_writes: VecDeque<(u64, Time)>,
     /// Messages that may be sent once the write of this number is acknowledged.
-    held_messages: VecDeque<(u64, Vec<Message>)>,
+    held_messages: VecDeque<(u64, Vec<RaftMessage>)>,
     acked_write: u64,
     /// A snapshot that the disk does not have yet: the number of its write, and its index.
     installing: Option<(u64, u64)>,
@@ -240,10 +240,10 @@
     }
 
     /// The version in force and the pending one, as applied here. It may only be granted after a confirmed round.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> RulesState {
         let named = |v: Version| self.machine.version(v).map(|r| (v, r.digest));
         let version = self.machine.standing();
-        Standing {
+        RulesState {
             index: self.applied,
             version,
             digest: named(version).map_or_else(Default::default, |(_, digest)| digest),
@@ -332,13 +332,13 @@
         let Some(leader) = self.leader().filter(|l| *l != self.name) else { return };
         if !self.reports.is_empty() {
             let all = std::mem::take(&mut self.reports).into_iter().collect();
-            out.push(Action::Send(leader, Word::Reports(all)));
+            out.push(Action::Send(leader, Message::Reports(all)));
         }
     }
 
     /// Processes a raft message of another voter.
     pub fn receive(&mut self, now: Time, from: &str, seat: u64, bytes: &[u8], out: &mut Vec<Action>) {
-        let Some(message) = decode_proto::<Message>(bytes).filter(|_| seat == self.seat && !self.halted)
+        let Some(message) = decode_proto::<RaftMessage>(bytes).filter(|_| seat == self.seat && !self.halted)
         else {
             return;
         };
@@ -402,7 +402,7 @@
             }
             false => {
                 let why = "no leader is known here: the voters have no majority, or are electing a leader; try again";
-                out.push(Action::Send(from.to_owned(), Word::Unpublished(id, why.into())));
+                out.push(Action::Send(from.to_owned(), Message::Unpublished(id, why.into())));
             }
         }
         self.drive(now, out);
@@ -413,7 +413,7 @@
         &mut self, now: Time, from: &str, number: u64, tag: Tag, entry: Vec<u8>, out: &mut Vec<Action>,
     ) {
         let admitted = match entry.len() <= MAX_RIDER_ENTRY_BYTES {
-            true => self.riders.admits(tag, &entry),
+            true => self.riders.check_submission(tag, &entry),
             false => Err(format!(
                 "the request has {} bytes, more than the limit of {MAX_RIDER_ENTRY_BYTES}: ask for less at once",
                 entry.len()
@@ -433,7 +433,7 @@
                 }
                 self.rider_submitters.push_back((number, tag, entry, from.to_owned()));
             }
-            Err(why) => out.push(Action::Send(from.to_owned(), Word::Unput(number, why))),
+            Err(why) => out.push(Action::Send(from.to_owned(), Message::RiderRefused(number, why))),
         }
         self.drive(now, out);
     }
@@ -443,16 +443,18 @@
         &self, now: Time, from: &str, number: u64, tag: Tag, question: &[u8], out: &mut Vec<Action>,
     ) {
         let answer = self.riders.answer(tag, question, &self.view(now));
-        let word = match answer {
-            Some(answer) => Word::Seen(number, self.leads(), answer),
-            None => Word::Unput(number, format!("this build of sandgap does not know machine {tag}")),
+        let message = match answer {
+            Some(answer) => Message::RiderAnswer(number, self.leads(), answer),
+            None => {
+                Message::RiderRefused(number, format!("this build of sandgap does not know machine {tag}"))
+            }
         };
-        out.push(Action::Send(from.to_owned(), word));
+        out.push(Action::Send(from.to_owned(), message));
     }
 
-    fn view(&self, now: Time) -> View<'_> {
+    fn view(&self, now: Time) -> LeaderView<'_> {
         let led = self.leading_since.unwrap_or(now);
-        View { now, led, terms: &self.terms, machine: &self.machine, members: &self.members }
+        LeaderView { now, led, terms: &self.terms, machine: &self.machine, members: &self.members }
     }
 
     fn propose(&mut self, entry: &Entry) -> bool {
@@ -476,15 +478,15 @@
             self.monitor.record_unreachable(now, &name);
             self.drive(now, out);
         } else if let Some(leader) = self.leader().filter(|l| *l != self.name) {
-            out.push(Action::Send(leader, Word::Missed(name)));
+            out.push(Action::Send(leader, Message::Unreachable(name)));
         }
     }
 
-    fn tenure(&self, draw: u64) -> Tenure {
+    fn enrolment_state(&self, draw: u64) -> EnrolmentState {
         let lives = self.machine.lives();
         let life = lives.life_of(draw);
         let claims = life.map(|life| lives.claims_of(life)).unwrap_or_default();
-        Tenure { life, claims, roll: lives.roll() }
+        EnrolmentState { life, claims, roll: lives.roll() }
     }
 
     /// Acknowledges all writes up to a number.
@@ -507,10 +509,10 @@
         self.drive(now, out);
     }
 
-    fn send_all(&self, messages: Vec<Message>, out: &mut Vec<Action>) {
+    fn send_all(&self, messages: Vec<RaftMessage>, out: &mut Vec<Action>) {
         for message in messages {
             if let Some(name) = self.name_of(message.to) {
-                out.push(Action::Send(name, Word::Raft(message.to, encode_proto(&message))));
+                out.push(Action::Send(name, Message::Raft(message.to, encode_proto(&message))));
             }
         }
     }
@@ -584,7 +586,7 @@
         write.cut = Some(index);
         self.installing = Some((write.number, index));
         self.node.mut_store().install(snapshot);
-        out.push(Action::Standing);
+        out.push(Action::RulesState);
     }
 
     fn apply(&mut self, now: Time, committed: Vec<raft::eraftpb::Entry>, out: &mut Vec<Action>) {
@@ -614,7 +616,7 @@
         let after = self.standing();
         if (after.version, after.closed, &after.pending) != (before.version, before.closed, &before.pending) {
             self.proposed_tick = 0;
-            out.push(Action::Standing);
+            out.push(Action::RulesState);
         }
         // A new voter starts from a snapshot, which has to contain its seat.
         if seats || self.node.store().applied_since_snapshot(self.applied) > SNAPSHOT_INTERVAL_ENTRIES {
@@ -644,7 +646,7 @@
         if let Some(at) = self.publishers.iter().position(|(n, _)| *n == id)
             && let Some((_, who)) = self.publishers.remove(at)
         {
-            out.push(Action::Send(who, Word::Published(id, verdict.clone())));
+            out.push(Action::Send(who, Message::Published(id, verdict.clone())));
         }
         if let Verdict::PutForward(version) = verdict {
             out.push(Action::Note(format!("rules: version {version} is put forward")));
@@ -677,7 +679,7 @@
     fn block_reason(&self, version: Version) -> Option<BlockReason> {
         let book = |v| self.machine.version(v).and_then(|r| Rulebook::decode(r.book()).ok());
         let (old, new) = (book(self.machine.standing())?, book(version)?);
-        let (tag, why) = self.riders.bars(&old, &new)?;
+        let (tag, why) = self.riders.objection(&old, &new)?;
         Some((format!("the fleet's log (machine {tag})"), why))
     }
 
@@ -690,7 +692,7 @@
         let of = |(_, t, e, _): &(u64, Tag, Vec<u8>, String)| *t == tag && e == entry;
         while let Some(at) = self.rider_submitters.iter().position(of) {
             if let Some((number, _, _, who)) = self.rider_submitters.remove(at) {
-                out.push(Action::Send(who, Word::Came(number, result.clone())));
+                out.push(Action::Send(who, Message::RiderEntryApplied(number, result.clone())));
             }
         }
     }
@@ -728,12 +730,12 @@
     pub fn status(&self, now: Time) -> Status {
         let ago = |at: Time| u64::try_from(now.saturating_sub(at).as_millis()).unwrap_or(u64::MAX);
         let members = if self.leads() { self.members.iter().collect() } else { Vec::new() };
-        let seen = |(name, known): (&String, &Known)| Seen {
+        let seen = |(name, known): (&String, &MemberReport)| MemberStatus {
             name: name.clone(),
             ago_ms: ago(known.at),
-            report: Report { told: Vec::new(), ..known.report.clone() },
+            report: Report { rider_messages: Vec::new(), ..known.report.clone() },
         };
-        let line = |(version, r): (Version, &crate::machine::Record)| Line {
+        let line = |(version, r): (Version, &crate::machine::Record)| VersionSummary {
             version,
             digest: r.digest,
             fate: r.fate.clone(),
--- a/crates/sandgap-agree/src/voter/rounds.rs
+++ b/crates/sandgap-agree/src/voter/rounds.rs
@@ -3,12 +3,12 @@
 
 use std::collections::VecDeque;
 
-use raft::eraftpb::Message;
+use raft::eraftpb::Message as RaftMessage;
 use sandgap_fleet::Time;
 
 use super::{Action, Voter};
 use crate::limits::MAX_ROUNDS;
-use crate::words::{Grant, Word};
+use crate::messages::{Grant, Message};
 
 /// Processes of other voters whose latest round is remembered: about a dozen per voter.
 const MAX_TRACKED_PROCESSES: usize = 64;
@@ -40,7 +40,7 @@
 impl Voter {
     /// Whether a round of another voter arrives here for the first time. A duplicate would be queued in the engine
     /// behind later rounds, and late acknowledgements of it would confirm those as well.
-    pub(super) fn is_new_round(&mut self, message: &Message) -> bool {
+    pub(super) fn is_new_round(&mut self, message: &RaftMessage) -> bool {
         let context = message.get_entries().first().map(|e| e.get_data());
         let Some((who, number)) = context.and_then(decode_context) else { return false };
         match self.latest_rounds.iter_mut().find(|(w, _)| *w == who) {
@@ -99,11 +99,11 @@
         self.rounds = rest;
         for asked in due.into_iter().flat_map(|r| r.asked) {
             let WaitingAsk { from, origin, number, draw } = asked;
-            let tenure = (draw != 0).then(|| self.tenure(draw));
-            let told = self.riders.tell(origin.as_deref().unwrap_or(&from));
+            let enrolment = (draw != 0).then(|| self.enrolment_state(draw));
+            let rider_messages = self.riders.message_for(origin.as_deref().unwrap_or(&from));
             let (standing, voters) = (standing.clone(), voters.clone());
-            let grant = Grant { number, origin, standing, voters, tenure, told };
-            out.push(Action::Send(from, Word::Grant(grant)));
+            let grant = Grant { number, origin, standing, voters, enrolment, rider_messages };
+            out.push(Action::Send(from, Message::Grant(grant)));
         }
     }
 }
--- a/crates/sandgap-agree/src/voter/seats.rs
+++ b/crates/sandgap-agree/src/voter/seats.rs
@@ -5,11 +5,11 @@
 
 use super::{Action, Voter};
 use crate::machine::Seat;
-use crate::words::Seating;
+use crate::messages::VoterChange;
 
 impl Voter {
     /// Changes the set of voters. Returns an empty text on success, else the reason for the refusal.
-    pub fn seat_change(&mut self, now: Time, change: &Seating, out: &mut Vec<Action>) -> String {
+    pub fn seat_change(&mut self, now: Time, change: &VoterChange, out: &mut Vec<Action>) -> String {
         if !self.leads() {
             return match self.leader() {
                 Some(leader) => format!("this voter is not the leader: send the request to '{leader}'"),
@@ -43,21 +43,21 @@
     }
 
     /// The seats that a change fills or empties.
-    pub(super) fn seat_changes(&self, change: &Seating) -> Result<Vec<(u64, Option<Seat>)>, String> {
+    pub(super) fn seat_changes(&self, change: &VoterChange) -> Result<Vec<(u64, Option<Seat>)>, String> {
         let of = |name: &str| self.machine.seats.iter().find(|(_, s)| s.name == name).map(|(id, _)| *id);
         match change {
-            Seating::Add(name, _) if of(name).is_some() => Err(format!("'{name}' is already a voter")),
-            Seating::Add(name, address) => {
+            VoterChange::Add(name, _) if of(name).is_some() => Err(format!("'{name}' is already a voter")),
+            VoterChange::Add(name, address) => {
                 let seat = Seat { name: name.clone(), address: *address };
                 Ok(vec![(fresh_seat(name, self.applied), Some(seat))])
             }
-            Seating::Remove(_) if self.machine.seats.len() == 1 => {
+            VoterChange::Remove(_) if self.machine.seats.len() == 1 => {
                 Err("the last voter can't be removed".into())
             }
-            Seating::Remove(name) => {
+            VoterChange::Remove(name) => {
                 of(name).map(|id| vec![(id, None)]).ok_or_else(|| format!("'{name}' is not a voter"))
             }
-            Seating::Rebuild { name, address, id } => match of(name) {
+            VoterChange::Rebuild { name, address, id } => match of(name) {
                 Some(old) if old == *id => Ok(Vec::new()),
                 Some(old) => {
                     let seat = Seat { name: name.clone(), address: *address };
--- a/crates/sandgap-lab/src/agree/simulation.rs
+++ b/crates/sandgap-lab/src/agree/simulation.rs
@@ -8,9 +8,9 @@
 use sandgap_agree::lives::{Claim, Epoch, Life};
 use sandgap_agree::log::Write;
 use sandgap_agree::machine::{Proposal, Verdict};
+use sandgap_agree::messages::Message;
 use sandgap_agree::rulebook::{Class, Effect, Limits, OnLapse, digest};
 use sandgap_agree::tenure::Turn;
-use sandgap_agree::words::Word;
 use sandgap_agree::{Agent, Digest, Output, Rulebook, Terms, Version};
 use sandgap_fleet::{Drift, Time};
 
@@ -33,7 +33,7 @@
     Message {
         to: usize,
         from: String,
-        message: Word,
+        message: Message,
     },
     /// A process's timer fires.
     Timer {
@@ -243,7 +243,7 @@
         self.with(n, |agent, now| agent.fire(now));
     }
 
-    fn receive(&mut self, to: usize, from: String, message: Word) {
+    fn receive(&mut self, to: usize, from: String, message: Message) {
         if self.nodes[to].host.paused {
             self.nodes[to].host.deferred.push_back(Event::Message { to, from, message });
             return;
@@ -338,8 +338,8 @@
         Some((holder.life()?, node.host.clock.shown(until)))
     }
 
-    fn send(&mut self, from: usize, to: &str, message: Word) {
-        if let Word::Published(id, verdict) = &message {
+    fn send(&mut self, from: usize, to: &str, message: Message) {
+        if let Message::Published(id, verdict) = &message {
             return self.publish_answered(*id, verdict);
         }
         let Some(to) = self.nodes.iter().position(|node| node.host.name == to) else { return };
@@ -443,7 +443,7 @@
         let id = self.proposals;
         self.published.insert(id, (now, digest(&book)));
         let proposal = Proposal { id, parent, book, by: PUBLISHER.into(), why: String::new() };
-        let message = Word::Publish(proposal);
+        let message = Message::Publish(proposal);
         self.events.push(now + MS, Event::Message { to: voter, from: PUBLISHER.into(), message });
     }
 
--- a/crates/sandgap-lab/src/takeover/simulation.rs
+++ b/crates/sandgap-lab/src/takeover/simulation.rs
@@ -5,7 +5,7 @@
 
 use rand::RngExt;
 use sandgap_agree::log::Write;
-use sandgap_agree::words::Word;
+use sandgap_agree::messages::Message;
 use sandgap_agree::{Agent, Output as AgentOutput};
 use sandgap_fleet::Time;
 use sandgap_takeover::hands::Terms;
@@ -38,7 +38,7 @@
     Message {
         to: usize,
         from: String,
-        message: Word,
+        message: Message,
     },
     /// A takeover message arrives at a process.
     TakeoverMessage {
--- a/crates/sandgap-rig/src/scale/hollow.rs
+++ b/crates/sandgap-rig/src/scale/hollow.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use sandgap_agree::words::Word;
+use sandgap_agree::messages::Message;
 use sandgap_agree::{Agent, Output, Version};
 use sandgap_fleet::frame::Key;
 use sandgap_fleet::link::{Incoming, Links};
@@ -240,34 +240,34 @@
                 self.send_gossip(gossip);
             }
             RULES_CHANNEL => {
-                let Some(word) = Word::decode(&body) else { return };
-                self.count_received(&word, body.len());
-                self.agent.hear(now(), &from, word);
+                let Some(message) = Message::decode(&body) else { return };
+                self.count_received(&message, body.len());
+                self.agent.hear(now(), &from, message);
                 self.handle_outputs();
             }
             _ => {}
         }
     }
 
-    fn count_received(&self, word: &Word, bytes: usize) {
+    fn count_received(&self, message: &Message, bytes: usize) {
         let mut tally = self.tally.borrow_mut();
-        if let Word::Grant(grant) = word {
+        if let Message::Grant(grant) = message {
             tally.log_index = tally.log_index.max(grant.standing.index);
         }
-        let traffic = match word {
-            Word::Grant(_) => &mut tally.grants,
-            Word::News(_) => &mut tally.news,
-            Word::Book(..) => &mut tally.books,
+        let traffic = match message {
+            Message::Grant(_) => &mut tally.grants,
+            Message::News(_) => &mut tally.news,
+            Message::Book(..) => &mut tally.books,
             _ => &mut tally.other,
         };
         traffic.add(bytes);
     }
 
-    fn count_sent(&self, word: &Word, bytes: usize) {
+    fn count_sent(&self, message: &Message, bytes: usize) {
         let mut tally = self.tally.borrow_mut();
-        let traffic = match word {
-            Word::Ask(_) => &mut tally.asks,
-            Word::Fetch(_) => &mut tally.fetches,
+        let traffic = match message {
+            Message::Ask(_) => &mut tally.asks,
+            Message::Fetch(_) => &mut tally.fetches,
             _ => &mut tally.other,
         };
         traffic.add(bytes);
@@ -283,7 +283,7 @@
     fn handle_outputs(&mut self) {
         while let Some(output) = self.agent.poll() {
             match output {
-                Output::Say(to, address, word) => self.send(&to, address, &word),
+                Output::Say(to, address, message) => self.send(&to, address, &message),
                 Output::Check(version, _) => self.agent.checked(now(), version, Ok(())),
                 Output::Act(version, _) => self.record_acting(version),
                 Output::Write(_) | Output::Turn(_) | Output::Told(_) | Output::Note(_) => {}
@@ -291,25 +291,26 @@
         }
     }
 
-    fn send(&mut self, to: &str, address: Option<SocketAddr>, word: &Word) {
-        let bytes = word.encode();
-        if let Word::Ask(ask) = word
+    fn send(&mut self, to: &str, address: Option<SocketAddr>, message: &Message) {
+        let bytes = message.encode();
+        if let Message::Ask(ask) = message
             && ask.origin.is_none()
             && self.last_request.replace(ask.number) != Some(ask.number)
         {
             self.tally.borrow_mut().questions += 1;
         }
-        let copies: Vec<(String, SocketAddr)> = match (self.defect, word) {
-            (Some(Defect::AskEveryVoter), Word::Ask(_)) | (Some(Defect::FetchEverywhere), Word::Fetch(_)) => {
+        let copies: Vec<(String, SocketAddr)> = match (self.defect, message) {
+            (Some(Defect::AskEveryVoter), Message::Ask(_))
+            | (Some(Defect::FetchEverywhere), Message::Fetch(_)) => {
                 self.voters.iter().filter(|(voter, _)| voter != to).cloned().collect()
             }
             _ => Vec::new(),
         };
         let known_address = address.or_else(|| self.members.find(to).map(|m| m.address));
-        self.count_sent(word, bytes.len());
+        self.count_sent(message, bytes.len());
         self.links.send(to, known_address, RULES_CHANNEL, bytes.clone());
         for (voter, address) in copies {
-            self.count_sent(word, bytes.len());
+            self.count_sent(message, bytes.len());
             self.links.send(&voter, Some(address), RULES_CHANNEL, bytes.clone());
         }
     }
--- a/crates/sandgap-rollout/src/carry.rs
+++ b/crates/sandgap-rollout/src/carry.rs
@@ -1,7 +1,7 @@
 //! The ledger and its controller as a state machine on the fleet's replicated log.
 
 use sandgap_agree::Rulebook;
-use sandgap_agree::rider::{Rider, Tag, Unreadable, View, Wish};
+use sandgap_agree::rider::{LeaderView, Rider, RiderProposal, Tag, Unreadable};
 use serde::{Deserialize, Serialize};
 
 use crate::controller::Controller;
@@ -57,7 +57,7 @@
 fn decode(entry: &[u8]) -> Result<Entry, Unreadable> {
     match postcard::take_from_bytes(entry) {
         Ok((entry, [])) => Ok(entry),
-        _ => Err(Unreadable::Foreign { what: "an entry", tag: TAG }),
+        _ => Err(Unreadable::OtherBuild { what: "an entry", tag: TAG }),
     }
 }
 
@@ -74,7 +74,7 @@
         self.ledger = match bytes.map(postcard::take_from_bytes) {
             None => Ledger::default(),
             Some(Ok((ledger, []))) => ledger,
-            Some(_) => return Err(Unreadable::Foreign { what: "its part of a snapshot", tag: TAG }),
+            Some(_) => return Err(Unreadable::OtherBuild { what: "its part of a snapshot", tag: TAG }),
         };
         self.controller = Controller::default();
         Ok(())
@@ -85,7 +85,7 @@
         Ok(postcard::to_stdvec(&verdict).unwrap_or_default())
     }
 
-    fn admits(&self, entry: &[u8]) -> Result<(), String> {
+    fn check_submission(&self, entry: &[u8]) -> Result<(), String> {
         match decode(entry).map_err(|e| e.to_string())? {
             Entry::Seen(_)
             | Entry::Grant { .. }
@@ -99,11 +99,11 @@
         }
     }
 
-    fn lead(&mut self, view: &View) -> Vec<Wish> {
+    fn proposals(&mut self, view: &LeaderView) -> Vec<RiderProposal> {
         self.controller.lead(&self.ledger, view)
     }
 
-    fn answer(&self, _: &[u8], view: &View) -> Vec<u8> {
+    fn answer(&self, _: &[u8], view: &LeaderView) -> Vec<u8> {
         let waits = self.controller.explain(&self.ledger, view);
         let reason = |permit: &crate::Permit| {
             let reason = match self.ledger.halted() {
@@ -119,7 +119,7 @@
         postcard::to_stdvec(&Status { ledger: self.ledger.clone(), waits, against }).unwrap_or_default()
     }
 
-    fn tell(&self, proxy: &str) -> Vec<u8> {
+    fn message_for(&self, proxy: &str) -> Vec<u8> {
         if self.ledger.is_idle() {
             return Vec::new();
         }
@@ -131,11 +131,11 @@
         Orders { out, watch, dial: true, measure, cohort }.encode()
     }
 
-    fn bars(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
+    fn objection(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
         self.ledger.rules_conflict(old, new)
     }
 
-    fn skip(&mut self, numbers: u64) {
+    fn skip_numbers(&mut self, numbers: u64) {
         self.ledger.skip(numbers);
     }
 }
--- a/crates/sandgap-rollout/src/controller.rs
+++ b/crates/sandgap-rollout/src/controller.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sandgap_agree::rider::{View, Wish};
+use sandgap_agree::rider::{LeaderView, RiderProposal};
 use sandgap_agree::rulebook::OnLapse;
 use sandgap_agree::{Rulebook, Version};
 use sandgap_fleet::Time;
@@ -52,7 +52,7 @@
 /// Input of one decision round: ledger, rules and the reports of live proxies.
 struct Context<'a> {
     ledger: &'a Ledger,
-    view: &'a View<'a>,
+    view: &'a LeaderView<'a>,
     rules: Rc<Rulebook>,
     rules_version: Version,
     /// Proxies that may hold a lease, with their last report.
@@ -60,12 +60,12 @@
 }
 
 /// Returns proxies that may hold a lease, with their last report.
-fn reports_of_live_proxies<'a>(view: &'a View<'a>) -> BTreeMap<&'a String, News> {
+fn reports_of_live_proxies<'a>(view: &'a LeaderView<'a>) -> BTreeMap<&'a String, News> {
     let decode_report = |parts: &[(u8, Vec<u8>)]| {
         let own_part = parts.iter().find(|(tag, _)| *tag == TAG);
         own_part.and_then(|(_, bytes)| News::decode(bytes)).unwrap_or_default()
     };
-    view.live().map(|(name, known)| (name, decode_report(&known.report.told))).collect()
+    view.live().map(|(name, known)| (name, decode_report(&known.report.rider_messages))).collect()
 }
 
 impl Context<'_> {
@@ -88,7 +88,7 @@
 
 impl Controller {
     /// Proposals of the leader for this round.
-    pub fn lead(&mut self, ledger: &Ledger, view: &View) -> Vec<Wish> {
+    pub fn lead(&mut self, ledger: &Ledger, view: &LeaderView) -> Vec<RiderProposal> {
         if self.leading_since != Some(view.led) {
             *self = Controller { leading_since: Some(view.led), ..Controller::default() };
         }
@@ -116,12 +116,12 @@
             };
             entries.extend(entry);
         }
-        let proposals = entries.iter().map(|e| Wish::Own(encode(e)));
+        let proposals = entries.iter().map(|e| RiderProposal::Own(encode(e)));
         proposals.chain(required_rules(&context)).collect()
     }
 
     /// Builds the context; records which proxies have been heard and which targets are healthy.
-    fn context<'a>(&mut self, ledger: &'a Ledger, view: &'a View<'a>) -> Option<Context<'a>> {
+    fn context<'a>(&mut self, ledger: &'a Ledger, view: &'a LeaderView<'a>) -> Option<Context<'a>> {
         let rules = self.rules(view)?;
         self.rules = Some((view.machine.standing(), rules.clone()));
         for (name, known) in view.members {
@@ -143,7 +143,7 @@
     }
 
     /// The rules in force. The content of a version never changes.
-    fn rules(&self, view: &View) -> Option<Rc<Rulebook>> {
+    fn rules(&self, view: &LeaderView) -> Option<Rc<Rulebook>> {
         match &self.rules {
             Some((version, rules)) if *version == view.machine.standing() => Some(rules.clone()),
             _ => view.rules().map(Rc::new),
@@ -343,7 +343,7 @@
     }
 
     /// What each target that is out waits for, as far as this voter can tell.
-    pub fn explain(&self, ledger: &Ledger, view: &View) -> Vec<(Target, String)> {
+    pub fn explain(&self, ledger: &Ledger, view: &LeaderView) -> Vec<(Target, String)> {
         let Some(rules) = self.rules(view) else { return Vec::new() };
         let reports = reports_of_live_proxies(view);
         let context = Context { ledger, view, rules, rules_version: view.machine.standing(), reports };
@@ -377,7 +377,7 @@
 }
 
 /// Rules that drain or undrain the targets of permits; `None` if the rules in force do so already.
-fn required_rules(context: &Context) -> Option<Wish> {
+fn required_rules(context: &Context) -> Option<RiderProposal> {
     let mut rules = Rulebook::clone(&context.rules);
     let listed =
         |name: &str| context.rules.backends.as_ref().is_none_or(|all| all.iter().any(|b| b.name == name));
@@ -402,5 +402,5 @@
     };
     let why: Vec<String> =
         [part("drain", &drained), part("undrain", &undrained)].into_iter().flatten().collect();
-    Some(Wish::Rules(Box::new(rules), format!("permits: {}", why.join("; "))))
+    Some(RiderProposal::Rules(Box::new(rules), format!("permits: {}", why.join("; "))))
 }
--- a/crates/sandgap/src/rules/commands.rs
+++ b/crates/sandgap/src/rules/commands.rs
@@ -13,9 +13,9 @@
 use clap::{Args, Subcommand};
 use sandgap_agree::log::Saved;
 use sandgap_agree::machine::{Fate, Proposal, Seat, Verdict};
+use sandgap_agree::messages::{Message, Status, VoterChange};
 use sandgap_agree::store::{Opened, Store};
 use sandgap_agree::voter::fresh_seat;
-use sandgap_agree::words::{Seating, Status, Word};
 use sandgap_agree::{Rulebook, Version, contradicts};
 use sandgap_fleet::link::{Incoming, Links};
 use sandgap_rollout::Entry;
@@ -364,7 +364,7 @@
 
     /// Asks the voters in turn, `first` before the others, until `take` accepts an answer.
     pub(super) async fn ask<T>(
-        &mut self, first: Option<&str>, message: Word, mut take: impl FnMut(Word) -> Option<T>,
+        &mut self, first: Option<&str>, message: Message, mut take: impl FnMut(Message) -> Option<T>,
     ) -> Result<T> {
         let mut voters = self.fleet.voters.clone();
         voters.sort_by_key(|(name, _)| Some(name.as_str()) != first);
@@ -375,7 +375,7 @@
                 let until = Instant::now() + ANSWER_TIMEOUT;
                 while let Some(left) = until.checked_duration_since(Instant::now()) {
                     let Ok(Some(incoming)) = timeout(left, self.incoming.recv()).await else { break };
-                    if let Some(taken) = Word::decode(&incoming.body).and_then(&mut take) {
+                    if let Some(taken) = Message::decode(&incoming.body).and_then(&mut take) {
                         return Ok(taken);
                     }
                 }
@@ -393,10 +393,10 @@
     async fn any_status(&mut self, first: Option<&str>) -> Result<Status> {
         let number = self.next_number();
         let take = move |message| match message {
-            Word::Status(n, status) if n == number => Some(status),
+            Message::Status(n, status) if n == number => Some(status),
             _ => None,
         };
-        let status = self.ask(first, Word::Query(number), take).await?;
+        let status = self.ask(first, Message::Query(number), take).await?;
         // The file may be older than the set of voters, so it may not name the leader.
         for voter in &status.voters {
             if !self.fleet.voters.iter().any(|(name, _)| *name == voter.0) {
@@ -440,10 +440,10 @@
             )));
         }
         let take = move |message| match message {
-            Word::Book(v, bytes) if v == version => Some(bytes),
+            Message::Book(v, bytes) if v == version => Some(bytes),
             _ => None,
         };
-        let bytes = self.ask(Some(&status.voter), Word::Fetch(version), take).await?;
+        let bytes = self.ask(Some(&status.voter), Message::Fetch(version), take).await?;
         Rulebook::decode(&bytes).map_err(|e| CallError::Invalid(e.to_string()))
     }
 
@@ -496,9 +496,9 @@
         let leader = self.leader().await?;
         let parent = parent.unwrap_or(leader.standing.version);
         let id = self.next_number();
-        let message = Word::Publish(Proposal { id, parent, book, by: caller_name(), why });
+        let message = Message::Publish(Proposal { id, parent, book, by: caller_name(), why });
         let take = move |message| match message {
-            Word::Published(n, verdict) if n == id => Some(verdict),
+            Message::Published(n, verdict) if n == id => Some(verdict),
             _ => None,
         };
         let version = match self.ask(Some(&leader.voter), message, take).await? {
@@ -656,23 +656,23 @@
 
     async fn voters(&mut self, how: VotersCommand) -> Result<()> {
         match how {
-            VotersCommand::Add { name, address } => self.change_voters(Seating::Add(name, address)).await,
-            VotersCommand::Remove { name } => self.change_voters(Seating::Remove(name)).await,
+            VotersCommand::Add { name, address } => self.change_voters(VoterChange::Add(name, address)).await,
+            VotersCommand::Remove { name } => self.change_voters(VoterChange::Remove(name)).await,
             VotersCommand::Replace { old, name, address } => {
                 // The new voter is added first, so that the number of voters never drops.
-                self.change_voters(Seating::Add(name, address)).await?;
-                self.change_voters(Seating::Remove(old)).await
+                self.change_voters(VoterChange::Add(name, address)).await?;
+                self.change_voters(VoterChange::Remove(old)).await
             }
         }
     }
 
     /// Requests a change of the voters until the leader reports it as done.
-    async fn change_voters(&mut self, change: Seating) -> Result<()> {
+    async fn change_voters(&mut self, change: VoterChange) -> Result<()> {
         let is_done = |status: &Status| match &change {
-            Seating::Add(name, _) | Seating::Rebuild { name, .. } => {
+            VoterChange::Add(name, _) | VoterChange::Rebuild { name, .. } => {
                 status.voters.iter().any(|(v, _)| v == name)
             }
-            Seating::Remove(name) => status.voters.iter().all(|(v, _)| v != name),
+            VoterChange::Remove(name) => status.voters.iter().all(|(v, _)| v != name),
         };
         let mut why = String::new();
         while Instant::now() < self.end {
@@ -684,10 +684,10 @@
             }
             let number = self.next_number();
             let take = move |message| match message {
-                Word::Seated(n, why) if n == number => Some(why),
+                Message::VotersChanged(n, why) if n == number => Some(why),
                 _ => None,
             };
-            why = self.ask(Some(&status.voter), Word::Seat(number, change.clone()), take).await?;
+            why = self.ask(Some(&status.voter), Message::ChangeVoters(number, change.clone()), take).await?;
             sleep(POLL_INTERVAL).await;
         }
         Err(CallError::Rejected(if why.is_empty() {
--- a/crates/sandgap/src/rules/outs.rs
+++ b/crates/sandgap/src/rules/outs.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use clap::Args;
-use sandgap_agree::words::Word;
+use sandgap_agree::messages::Message;
 use sandgap_rollout::carry::{self, Status, TAG};
 use sandgap_rollout::{Asking, Bound, Entry, Permit, Phase, Target, Verdict};
 use serde_json::{Value, json};
@@ -70,12 +70,13 @@
         let leader = self.leader().await?;
         let number = self.next_number();
         let take = move |message| match message {
-            Word::Came(n, bytes) if n == number => carry::verdict(&bytes).map(Ok),
-            Word::Unput(n, why) if n == number => Some(Err(why)),
+            Message::RiderEntryApplied(n, bytes) if n == number => carry::verdict(&bytes).map(Ok),
+            Message::RiderRefused(n, why) if n == number => Some(Err(why)),
             _ => None,
         };
-        let answer =
-            self.ask(Some(&leader.voter), Word::Put(number, TAG, carry::encode(entry)), take).await?;
+        let answer = self
+            .ask(Some(&leader.voter), Message::ProposeRiderEntry(number, TAG, carry::encode(entry)), take)
+            .await?;
         match answer {
             Ok(Verdict::Refused(why)) => Err(CallError::Rejected(why.to_string())),
             Ok(verdict) => Ok(verdict),
@@ -89,11 +90,14 @@
             let leader = self.leader().await?;
             let number = self.next_number();
             let take = move |message| match message {
-                Word::Seen(n, leads, bytes) if n == number => Some(carry::status(&bytes).filter(|_| leads)),
-                Word::Unput(n, _) if n == number => Some(None),
+                Message::RiderAnswer(n, leads, bytes) if n == number => {
+                    Some(carry::status(&bytes).filter(|_| leads))
+                }
+                Message::RiderRefused(n, _) if n == number => Some(None),
                 _ => None,
             };
-            if let Some(status) = self.ask(Some(&leader.voter), Word::Look(number, TAG, vec![]), take).await?
+            if let Some(status) =
+                self.ask(Some(&leader.voter), Message::QueryRider(number, TAG, vec![]), take).await?
             {
                 return Ok(status);
             }
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use sandgap_agree::log::{Saved, Write};
+use sandgap_agree::messages::Message;
 use sandgap_agree::store::{Opened, Store};
-use sandgap_agree::words::Word;
 use sandgap_agree::{Agent, Output, Rulebook, Version};
 use sandgap_fleet::link::{Incoming, Links};
 use sandgap_fleet::members::{Gossip, ProbeTiming};
@@ -237,7 +237,7 @@
                 self.send_gossip(gossip);
             }
             RULES_CHANNEL => {
-                if let Some(message) = Word::decode(&body) {
+                if let Some(message) = Message::decode(&body) {
                     self.agent.borrow_mut().hear(now(), &from, message);
                     self.process_outputs();
                 }
