--- a/crates/sandgap-agree/src/agent.rs
+++ b/crates/sandgap-agree/src/agent.rs
@@ -7,22 +7,22 @@
 
 use sandgap_fleet::Time;
 
+use crate::enrolment::{Enrolment, EnrolmentEvent};
 use crate::follower::{Follower, Step, Taking};
 use crate::limits::MAX_RELAYED_ASKS;
-use crate::lives::{Enrolled, Epoch, Life, drawn};
+use crate::lives::{Enrolled, Epoch, ProcessId, next_random};
 use crate::log::{Damaged, Saved, Write};
 use crate::machine::Proposal;
 use crate::messages::{Ask, Grant, Message, RulesState, VoterChange};
 use crate::rider::{RiderMessages, Riders, Tag};
 use crate::rulebook::{Rulebook, Version};
-use crate::tenure::{Holder, Turn};
-use crate::terms::Terms;
+use crate::timing::Timing;
 use crate::voter::{Action, Voter};
 
 /// Lease requests per T.
 const ASKS_PER_LEASE: u32 = 4;
 /// Lease requests per T of a process that enrols as a life. Longer intervals would delay the fencing of a failed
-/// process and so the start of its heir.
+/// process and so the start of its successor.
 const ASKS_PER_LEASE_ENROLLED: u32 = 8;
 /// After more than this number of consecutive requests without a grant, other proxies are asked to relay them.
 const UNANSWERED_BEFORE_RELAY: u32 = 2;
@@ -39,7 +39,7 @@
     /// Act on this version.
     Act(Version, Rc<Rulebook>),
     /// The enrolment of this process, or the membership list, has changed.
-    Turn(Turn),
+    Turn(EnrolmentEvent),
     /// The messages of the log's riders to this proxy, which came with a grant.
     Told(RiderMessages),
     /// Log a message.
@@ -49,7 +49,7 @@
 /// A proxy's participant in agreed rules, see the module.
 pub struct Agent {
     name: String,
-    terms: Terms,
+    timing: Timing,
     follower: Follower,
     voter: Option<Voter>,
     /// The voters, with their addresses.
@@ -63,7 +63,7 @@
     last_asked: Time,
     next_ask: Time,
     /// State of the pseudorandom choice of a relaying proxy.
-    draw: u64,
+    random_state: u64,
     /// Messages to this proxy itself.
     own_messages: VecDeque<Message>,
     /// Lease requests relayed since the last own one.
@@ -77,14 +77,16 @@
 
 impl Agent {
     /// An agent that knows only the voters. `chance` is random, new at each start.
-    pub fn new(now: Time, name: &str, terms: Terms, voters: Vec<(String, SocketAddr)>, chance: u64) -> Self {
+    pub fn new(
+        now: Time, name: &str, timing: Timing, voters: Vec<(String, SocketAddr)>, chance: u64,
+    ) -> Self {
         let at = voters.iter().position(|(v, _)| v == name);
         // Proxies are spread over the voters; a voter asks itself first.
         let voter_index = at.unwrap_or_else(|| (chance >> 32) as usize % voters.len().max(1));
         Agent {
             name: name.to_owned(),
-            terms,
-            follower: Follower::new(terms.span, chance),
+            timing,
+            follower: Follower::new(timing.lease_bound, chance),
             voter: None,
             voters,
             others: Vec::new(),
@@ -92,7 +94,7 @@
             unanswered: 0,
             last_asked: now,
             next_ask: now,
-            draw: chance,
+            random_state: chance,
             own_messages: VecDeque::new(),
             relayed: 0,
             out: VecDeque::new(),
@@ -109,7 +111,7 @@
     pub fn vote(
         &mut self, now: Time, saved: &Saved, riders: Riders, address: SocketAddr,
     ) -> Result<(), Damaged> {
-        self.voter = Some(Voter::new(now, &self.name, self.terms, saved, riders, self.draw)?);
+        self.voter = Some(Voter::new(now, &self.name, self.timing, saved, riders, self.random_state)?);
         self.rebuild = saved.snapshot.is_none().then_some((address, now));
         Ok(())
     }
@@ -122,27 +124,27 @@
     /// Makes this process enrol as a life from now on.
     pub fn enlist(&mut self, zone: Option<String>) {
         // Distinct from the numbers of lease requests, and never 0, which means none.
-        let draw = self.draw.rotate_left(29).max(1);
-        self.follower.enlist(Holder::new(Enrolled { draw, name: self.name.clone(), zone }));
+        let process_token = self.random_state.rotate_left(29).max(1);
+        self.follower.enlist(Enrolment::new(Enrolled { process_token, name: self.name.clone(), zone }));
     }
 
     /// The enrolment of this process, if it wants one.
-    pub fn holder(&self) -> Option<&Holder> {
-        self.follower.holder()
+    pub fn enrolment(&self) -> Option<&Enrolment> {
+        self.follower.enrolment()
     }
 
     /// Records that this process has settled the requests of an ended life.
     pub fn settled(&mut self, now: Time, epoch: Epoch) {
-        if let Some(holder) = self.follower.holder_mut() {
-            holder.settle(epoch);
+        if let Some(enrolment) = self.follower.enrolment_mut() {
+            enrolment.settle(epoch);
             self.send_entries(now);
         }
     }
 
     /// Ends the life of this process for a shutdown: from here on nothing is done under it.
     pub fn leave(&mut self, now: Time) {
-        if let Some(holder) = self.follower.holder_mut() {
-            holder.leave();
+        if let Some(enrolment) = self.follower.enrolment_mut() {
+            enrolment.leave();
             self.send_entries(now);
         }
     }
@@ -226,7 +228,7 @@
         if now < at {
             return;
         }
-        self.rebuild = Some((address, now + self.terms.span.bound));
+        self.rebuild = Some((address, now + self.timing.lease_bound.bound));
         let change = VoterChange::Rebuild { name: self.name.clone(), address, id: voter.seat() };
         for (name, address) in self.voters.clone() {
             if name != self.name {
@@ -240,8 +242,9 @@
     }
 
     fn ask(&mut self, now: Time) {
-        let enrols = self.follower.holder().is_some();
-        let interval = self.terms.span.bound / if enrols { ASKS_PER_LEASE_ENROLLED } else { ASKS_PER_LEASE };
+        let enrols = self.follower.enrolment().is_some();
+        let interval =
+            self.timing.lease_bound.bound / if enrols { ASKS_PER_LEASE_ENROLLED } else { ASKS_PER_LEASE };
         self.next_ask = now + interval;
         self.relayed = 0;
         if self.voters.is_empty() {
@@ -259,14 +262,14 @@
         let (voter, address) = self.voters[self.voter_index % self.voters.len()].clone();
         let ask = Ask { number, origin: None, report };
         // Entries to propose go ahead of the lease request, so that its grant may already reflect them.
-        for entry in self.follower.holder().map(Holder::entries_to_propose).unwrap_or_default() {
+        for entry in self.follower.enrolment().map(Enrolment::entries_to_propose).unwrap_or_default() {
             self.send(voter.clone(), Some(address), Message::Life(entry));
         }
         self.send(voter, Some(address), Message::Ask(ask.clone()));
         if self.unanswered > UNANSWERED_BEFORE_RELAY && !self.others.is_empty() {
             // Both requests have the same number: the first grant counts.
-            self.draw = drawn(self.draw);
-            let at = (self.draw >> 33) as usize % self.others.len();
+            self.random_state = next_random(self.random_state);
+            let at = (self.random_state >> 33) as usize % self.others.len();
             let other = self.others[at].clone();
             self.send(other, None, Message::Ask(ask));
         }
@@ -327,7 +330,9 @@
             Message::Life(entry) => self.with_voter(|v, out| v.propose_life_entry(now, entry, out)),
             Message::Unreachable(name) => self.with_voter(|v, out| v.report_unreachable(now, name, out)),
             Message::FetchMembers(since) => self.handle_fetch_members(from, since),
-            Message::Members(roll, all, departed) => self.handle_members(roll, all, departed),
+            Message::Members(list_number, all, recently_ended) => {
+                self.handle_members(list_number, all, recently_ended)
+            }
             Message::BecameSuccessor => {
                 self.next_ask = now;
                 self.fire(now);
@@ -406,44 +411,49 @@
             let at = |name: &String| self.voters.iter().position(|(v, _)| v == name);
             self.voter_index = asked.as_ref().and_then(at).unwrap_or(0);
         }
-        let mut turns = Vec::new();
-        let steps = self.follower.granted(now, &grant, &mut turns);
-        self.push_turns(now, turns);
+        let mut events = Vec::new();
+        let steps = self.follower.granted(now, &grant, &mut events);
+        self.push_events(now, events);
         if grant.rider_messages != self.last_rider_messages {
             self.last_rider_messages.clone_from(&grant.rider_messages);
             self.out.push_back(Output::Told(grant.rider_messages));
         }
-        if let Some(since) = self.follower.holder().and_then(Holder::outdated_roll) {
+        if let Some(since) = self.follower.enrolment().and_then(Enrolment::outdated_list) {
             self.send(from.to_owned(), None, Message::FetchMembers(since));
         }
         self.carry_out_steps(now, from, steps);
     }
 
-    fn push_turns(&mut self, now: Time, turns: Vec<Turn>) {
-        for turn in turns {
-            if matches!(turn, Turn::Ended(_)) {
+    fn push_events(&mut self, now: Time, events: Vec<EnrolmentEvent>) {
+        for event in events {
+            if matches!(event, EnrolmentEvent::Ended(_)) {
                 self.next_ask = now; // enrol again at once
             }
-            self.out.push_back(Output::Turn(turn));
+            self.out.push_back(Output::Turn(event));
         }
     }
 
     fn handle_fetch_members(&mut self, from: &str, since: u64) {
-        let Some(lives) = self.voter.as_ref().map(|v| v.machine().lives()).filter(|l| l.roll() > since)
+        let Some(lives) =
+            self.voter.as_ref().map(|v| v.machine().lives()).filter(|l| l.list_number() > since)
         else {
             return;
         };
-        let list = |of: &BTreeMap<Life, Enrolled>| of.iter().map(|(l, e)| (*l, e.clone())).collect();
-        let message = Message::Members(lives.roll(), list(lives.enrolled()), list(lives.departed()));
+        let list = |of: &BTreeMap<ProcessId, Enrolled>| of.iter().map(|(l, e)| (*l, e.clone())).collect();
+        let message =
+            Message::Members(lives.list_number(), list(lives.enrolled()), list(lives.recently_ended()));
         self.send(from.to_owned(), None, message);
     }
 
-    fn handle_members(&mut self, roll: u64, all: Vec<(Life, Enrolled)>, departed: Vec<(Life, Enrolled)>) {
-        let mut turns = Vec::new();
-        if let Some(holder) = self.follower.holder_mut() {
-            holder.receive_roll(roll, all, departed, &mut turns);
+    fn handle_members(
+        &mut self, list_number: u64, all: Vec<(ProcessId, Enrolled)>,
+        recently_ended: Vec<(ProcessId, Enrolled)>,
+    ) {
+        let mut events = Vec::new();
+        if let Some(enrolment) = self.follower.enrolment_mut() {
+            enrolment.receive_member_list(list_number, all, recently_ended, &mut events);
         }
-        self.out.extend(turns.into_iter().map(Output::Turn));
+        self.out.extend(events.into_iter().map(Output::Turn));
     }
 
     fn handle_news(&mut self, now: Time, from: &str, standing: &RulesState) {
@@ -510,7 +520,7 @@
             voter.halt();
             self.voter = None;
             self.rebuild = None;
-            self.draw = drawn(self.draw);
+            self.random_state = next_random(self.random_state);
             self.log(format!(
                 "the voter's disk has failed ({why}): this proxy does not vote until the disk works again"
             ));
--- a/crates/sandgap-agree/src/follower.rs
+++ b/crates/sandgap-agree/src/follower.rs
@@ -12,12 +12,12 @@
 use sandgap_fleet::Time;
 use sandgap_fleet::lease::{Lease, LeasePermission, RequestTracker};
 
+use crate::enrolment::{Enrolment, EnrolmentEvent};
 use crate::limits::{MAX_RIDER_MESSAGE_BYTES, MAX_RIDER_MESSAGES};
 use crate::messages::{Grant, Report, RulesState};
 use crate::rider::{RiderMessages, Tag};
 use crate::rulebook::{Digest, Rulebook, Version, digest};
-use crate::tenure::{Holder, Turn};
-use crate::terms::Span;
+use crate::timing::LeaseBound;
 
 /// Most rulebooks held: that of the active version, of the one in force, of the pending one, and an earlier one.
 const MAX_HELD_BOOKS: usize = 4;
@@ -54,7 +54,7 @@
 /// A proxy's state about agreed rules, see the module.
 #[derive(Debug)]
 pub struct Follower {
-    span: Span,
+    lease_bound: LeaseBound,
     tracker: RequestTracker,
     /// The last known version in force and pending version.
     known: RulesState,
@@ -72,16 +72,16 @@
     /// Requests refused for lack of a lease.
     refused: u64,
     /// The enrolment of this process, if it wants one.
-    holder: Option<Holder>,
+    enrolment: Option<Enrolment>,
     /// Messages to the riders of the log, sent with each lease request.
     rider_messages: RiderMessages,
 }
 
 impl Follower {
     /// A follower without any knowledge. `first` is random at each start, see [`RequestTracker`].
-    pub fn new(span: Span, first: u64) -> Self {
+    pub fn new(lease_bound: LeaseBound, first: u64) -> Self {
         Follower {
-            span,
+            lease_bound,
             tracker: RequestTracker::new(first),
             known: RulesState::default(),
             acting: 0,
@@ -91,7 +91,7 @@
             unusable: None,
             looked: None,
             refused: 0,
-            holder: None,
+            enrolment: None,
             rider_messages: RiderMessages::new(),
         }
     }
@@ -108,18 +108,18 @@
     }
 
     /// Makes this process enrol as a life from now on.
-    pub fn enlist(&mut self, holder: Holder) {
-        self.holder = Some(holder);
+    pub fn enlist(&mut self, enrolment: Enrolment) {
+        self.enrolment = Some(enrolment);
     }
 
     /// The enrolment of this process, if it wants one.
-    pub fn holder(&self) -> Option<&Holder> {
-        self.holder.as_ref()
+    pub fn enrolment(&self) -> Option<&Enrolment> {
+        self.enrolment.as_ref()
     }
 
     /// Mutable access to the enrolment of this process.
-    pub fn holder_mut(&mut self) -> Option<&mut Holder> {
-        self.holder.as_mut()
+    pub fn enrolment_mut(&mut self) -> Option<&mut Enrolment> {
+        self.enrolment.as_mut()
     }
 
     /// The number and the report of a lease request that is sent now.
@@ -127,25 +127,26 @@
         let number = self.tracker.record_request(now);
         let lease_ms = u32::try_from(self.lease.left(now).as_millis()).unwrap_or(u32::MAX);
         let looked = self.looked.clone();
-        let draw = self.holder.as_ref().map_or(0, Holder::draw);
+        let process_token = self.enrolment.as_ref().map_or(0, Enrolment::process_token);
         let (acting, refused, rider_messages) = (self.acting, self.refused, self.rider_messages.clone());
-        let report = Report { serial: number, acting, looked, lease_ms, refused, draw, rider_messages };
+        let report =
+            Report { serial: number, acting, looked, lease_ms, refused, process_token, rider_messages };
         (number, report)
     }
 
     /// Processes a grant.
-    pub fn granted(&mut self, now: Time, grant: &Grant, turns: &mut Vec<Turn>) -> Vec<Step> {
+    pub fn granted(&mut self, now: Time, grant: &Grant, events: &mut Vec<EnrolmentEvent>) -> Vec<Step> {
         let Some(asked) = self.tracker.take_request(grant.number) else { return Vec::new() };
-        if let (Some(holder), Some(enrolment)) = (&mut self.holder, &grant.enrolment) {
-            holder.granted(asked, enrolment, self.span, turns);
+        if let (Some(enrolment), Some(state)) = (&mut self.enrolment, &grant.enrolment) {
+            enrolment.granted(asked, state, self.lease_bound, events);
         }
         let steps = self.receive_news(now, &grant.standing);
         let standing = &grant.standing;
         // If the granted version is the active one or an older one, the knowledge here is as fresh as the request.
         if standing.version <= self.acting && !self.known.closed {
-            self.lease.granted(asked, self.span.bound, self.span.drift);
+            self.lease.granted(asked, self.lease_bound.bound, self.lease_bound.drift);
         } else if standing.version == self.known.version && !standing.closed {
-            self.ahead_lease.granted(asked, self.span.bound, self.span.drift);
+            self.ahead_lease.granted(asked, self.lease_bound.bound, self.lease_bound.drift);
         }
         steps
     }
@@ -328,7 +329,7 @@
     }
 
     fn follower() -> Follower {
-        Follower::new(Span { bound: ms(T), drift: Drift::ppm(0) }, 40)
+        Follower::new(LeaseBound { bound: ms(T), drift: Drift::ppm(0) }, 40)
     }
 
     fn grant(f: &mut Follower, asked: u64, now: u64, standing: RulesState) -> Vec<Step> {
--- a/crates/sandgap-agree/src/lib.rs
+++ b/crates/sandgap-agree/src/lib.rs
@@ -6,7 +6,8 @@
 //! drives it over sockets, the simulator (`sandgap-lab`) in virtual time.
 
 pub mod agent;
-pub mod contradict;
+pub mod contradictions;
+pub mod enrolment;
 pub mod follower;
 pub mod limits;
 pub mod lives;
@@ -16,12 +17,11 @@
 pub mod rider;
 pub mod rulebook;
 pub mod store;
-pub mod tenure;
-pub mod terms;
+pub mod timing;
 pub mod voter;
 
 pub use agent::{Agent, Output};
-pub use contradict::{Contradiction, contradicts};
+pub use contradictions::{Contradiction, contradicts};
 pub use rider::{Rider, Tag};
 pub use rulebook::{Digest, Rulebook, Version};
-pub use terms::{Span, Terms};
+pub use timing::{LeaseBound, Timing};
--- a/crates/sandgap-agree/src/limits.rs
+++ b/crates/sandgap-agree/src/limits.rs
@@ -15,9 +15,9 @@
 /// Members whose state a voter tracks: the fleet's own bound, [`sandgap_fleet::limits::MAX_MEMBERS`].
 pub const MAX_MEMBERS: usize = sandgap_fleet::limits::MAX_MEMBERS;
 /// Ended lives whose requests nobody has settled yet: several per member.
-pub const MAX_ESTATES: usize = 4 * MAX_MEMBERS;
+pub const MAX_UNSETTLED_LIVES: usize = 4 * MAX_MEMBERS;
 /// How long ended lives are remembered: longer than any other component remembers the end of a request.
-pub const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
+pub const RECENTLY_ENDED_RETENTION: Duration = Duration::from_secs(60);
 /// Lease requests that wait for one confirmation by a majority; excess ones are dropped, and their senders retry.
 pub const MAX_WAITING_ASKS: usize = 2 * MAX_MEMBERS;
 /// Confirmation rounds in flight at once.
@@ -41,6 +41,6 @@
 pub const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Truncates a text to [`MAX_TEXT_BYTES`] bytes at a character boundary.
-pub fn cut(text: &str) -> String {
+pub fn truncate_text(text: &str) -> String {
     text[..text.floor_char_boundary(MAX_TEXT_BYTES)].to_owned()
 }
--- a/crates/sandgap-agree/src/lives.rs
+++ b/crates/sandgap-agree/src/lives.rs
@@ -1,8 +1,9 @@
 //! Lives: each process of a proxy is enrolled under a number that the log assigns once. This module tracks which lives
-//! may act, and which life (the *heir*) settles the unfinished requests (the *estate*) of one that has ended.
+//! may act, and which life (the *successor*) settles the unfinished requests (the *unsettled life*) of one that has
+//! ended.
 //!
 //! A life acts under a lease like the one on the rules, see [`crate::follower`]. Once a *fence* against it is
-//! committed, no later lease request is granted for it, so its last lease ends T later. Only then is an heir named,
+//! committed, no later lease request is granted for it, so its last lease ends T later. Only then is a successor named,
 //! under a unique epoch. Budgets are divided among the same lives.
 
 use std::collections::BTreeMap;
@@ -11,19 +12,19 @@
 use sandgap_fleet::Time;
 use serde::{Deserialize, Serialize};
 
-use crate::limits::{MAX_ESTATES, MAX_MEMBERS, cut};
-use crate::terms::Span;
+use crate::limits::{MAX_MEMBERS, MAX_UNSETTLED_LIVES, truncate_text};
+use crate::timing::LeaseBound;
 
 /// The number of a process, assigned by the log in the order of enrolment and never reused.
-pub type Life = u64;
-/// The fencing number under which an heir acts: each claim has a higher one than all earlier claims.
+pub type ProcessId = u64;
+/// The fencing number under which a successor acts: each succession has a higher one than all earlier successions.
 pub type Epoch = u64;
 
 /// An enrolled process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Enrolled {
-    /// A random number drawn by the process at its start, by which a duplicate enrolment is recognized.
-    pub draw: u64,
+    /// A random number chosen by the process at its start, by which a duplicate enrolment is recognized.
+    pub process_token: u64,
     /// The proxy's name.
     pub name: String,
     /// The proxy's zone.
@@ -32,30 +33,30 @@
 
 /// An ended life whose requests have not been settled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Estate {
+pub struct UnsettledLife {
     /// The process that ended.
     pub was: Enrolled,
-    /// Whether the process itself announced its end: then an heir need not wait for its lease to end.
+    /// Whether the process itself announced its end: then a successor need not wait for its lease to end.
     pub told: bool,
-    /// The heir and its epoch; `None` until one is named.
-    pub heir: Option<(Life, Epoch)>,
+    /// The successor and its epoch; `None` until one is named.
+    pub successor: Option<(ProcessId, Epoch)>,
 }
 
-impl Estate {
-    /// The epoch of its heir; 0 without one.
+impl UnsettledLife {
+    /// The epoch of its successor; 0 without one.
     fn epoch(&self) -> Epoch {
-        self.heir.map_or(0, |(_, epoch)| epoch)
+        self.successor.map_or(0, |(_, epoch)| epoch)
     }
 }
 
-/// The right of an heir to act for an ended life.
+/// The right of a successor to act for an ended life.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claim {
+pub struct Succession {
     /// The ended life.
-    pub life: Life,
+    pub life: ProcessId,
     /// The name of its proxy.
     pub name: String,
-    /// The epoch under which the heir acts.
+    /// The epoch under which the successor acts.
     pub epoch: Epoch,
 }
 
@@ -67,79 +68,79 @@
     /// Ends a life: no more leases are granted to it.
     Fence {
         /// The life that ends.
-        life: Life,
-        /// See [`Estate::told`].
+        life: ProcessId,
+        /// See [`UnsettledLife::told`].
         told: bool,
     },
-    /// Names the heir of an ended life.
-    Claim {
+    /// Names the successor of an ended life.
+    Succession {
         /// The ended life.
-        life: Life,
-        /// The heir.
-        heir: Life,
-        /// The epoch of the heir that it replaces; 0 for none. Of claims by two leaders only one matches and takes
-        /// effect.
+        life: ProcessId,
+        /// The successor.
+        successor: ProcessId,
+        /// The epoch of the successor that it replaces; 0 for none. Of successions by two leaders only one matches and
+        /// takes effect.
         after: Epoch,
     },
-    /// The heir has settled the requests of an ended life.
-    Settle(Claim),
+    /// The successor has settled the requests of an ended life.
+    Settle(Succession),
     /// Removes a life from the recently ended ones.
-    Forget(Life),
+    Forget(ProcessId),
 }
 
 /// All lives, as committed to the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lives {
     /// Increases with each change of the enrolled lives.
-    roll: u64,
-    last: Life,
+    list_number: u64,
+    last: ProcessId,
     epoch: Epoch,
-    enrolled: BTreeMap<Life, Enrolled>,
-    estates: BTreeMap<Life, Estate>,
+    enrolled: BTreeMap<ProcessId, Enrolled>,
+    unsettled: BTreeMap<ProcessId, UnsettledLife>,
     /// Recently ended lives. A newly enrolled process has to know of lives that ended before it came.
-    departed: BTreeMap<Life, Enrolled>,
+    recently_ended: BTreeMap<ProcessId, Enrolled>,
 }
 
 impl Lives {
     /// The number of the membership list: of two lists the one with the higher number is newer.
-    pub fn roll(&self) -> u64 {
-        self.roll
+    pub fn list_number(&self) -> u64 {
+        self.list_number
     }
 
     /// The enrolled lives.
-    pub fn enrolled(&self) -> &BTreeMap<Life, Enrolled> {
+    pub fn enrolled(&self) -> &BTreeMap<ProcessId, Enrolled> {
         &self.enrolled
     }
 
     /// The ended lives whose requests have not been settled.
-    pub fn estates(&self) -> &BTreeMap<Life, Estate> {
-        &self.estates
+    pub fn unsettled(&self) -> &BTreeMap<ProcessId, UnsettledLife> {
+        &self.unsettled
     }
 
     /// The recently ended lives.
-    pub fn departed(&self) -> &BTreeMap<Life, Enrolled> {
-        &self.departed
+    pub fn recently_ended(&self) -> &BTreeMap<ProcessId, Enrolled> {
+        &self.recently_ended
     }
 
     /// The life of a process, if it is enrolled.
-    pub fn life_of(&self, draw: u64) -> Option<Life> {
-        self.enrolled.iter().find(|(_, e)| e.draw == draw).map(|(life, _)| *life)
+    pub fn life_of(&self, process_token: u64) -> Option<ProcessId> {
+        self.enrolled.iter().find(|(_, e)| e.process_token == process_token).map(|(life, _)| *life)
     }
 
-    /// The claims of an heir.
-    pub fn claims_of(&self, heir: Life) -> Vec<Claim> {
-        let of = |(life, estate): (&Life, &Estate)| {
-            let (_, epoch) = estate.heir.filter(|(h, _)| *h == heir)?;
-            Some(Claim { life: *life, name: estate.was.name.clone(), epoch })
+    /// The successions of a successor.
+    pub fn successions_of(&self, successor: ProcessId) -> Vec<Succession> {
+        let of = |(life, unsettled_life): (&ProcessId, &UnsettledLife)| {
+            let (_, epoch) = unsettled_life.successor.filter(|(h, _)| *h == successor)?;
+            Some(Succession { life: *life, name: unsettled_life.was.name.clone(), epoch })
         };
-        self.estates.iter().filter_map(of).collect()
+        self.unsettled.iter().filter_map(of).collect()
     }
 
     /// Skips numbers that a lost majority may have assigned, and ends all known lives: processes that still run enrol
     /// again.
     pub(crate) fn skip_numbers(&mut self, count: u64) {
         self.last += count;
-        self.roll += count;
+        self.list_number += count;
         self.epoch += count;
         for life in self.enrolled.keys().copied().collect::<Vec<_>>() {
             self.apply(LifeEntry::Fence { life, told: false });
@@ -152,48 +153,52 @@
             LifeEntry::Enrol(who) => self.enrol(who),
             LifeEntry::Fence { life, told } => {
                 let Some(was) = self.enrolled.remove(&life) else { return };
-                self.roll += 1;
-                if self.estates.len() >= MAX_ESTATES {
-                    self.estates.pop_first(); // not settled while thousands of other lives ended
+                self.list_number += 1;
+                if self.unsettled.len() >= MAX_UNSETTLED_LIVES {
+                    self.unsettled.pop_first(); // not settled while thousands of other lives ended
                 }
-                if self.departed.len() >= MAX_ESTATES {
-                    self.departed.pop_first();
+                if self.recently_ended.len() >= MAX_UNSETTLED_LIVES {
+                    self.recently_ended.pop_first();
                 }
-                self.departed.insert(life, was.clone());
-                self.estates.insert(life, Estate { was, told, heir: None });
+                self.recently_ended.insert(life, was.clone());
+                self.unsettled.insert(life, UnsettledLife { was, told, successor: None });
             }
-            LifeEntry::Claim { life, heir, after } => {
-                let Some(estate) = self.estates.get_mut(&life).filter(|e| e.epoch() == after) else { return };
-                if !self.enrolled.contains_key(&heir) {
+            LifeEntry::Succession { life, successor, after } => {
+                let Some(unsettled_life) = self.unsettled.get_mut(&life).filter(|e| e.epoch() == after)
+                else {
+                    return;
+                };
+                if !self.enrolled.contains_key(&successor) {
                     return;
                 }
                 self.epoch += 1;
-                estate.heir = Some((heir, self.epoch));
+                unsettled_life.successor = Some((successor, self.epoch));
             }
-            LifeEntry::Forget(life) => drop(self.departed.remove(&life)),
-            LifeEntry::Settle(claim) => {
-                if self.estates.get(&claim.life).is_some_and(|e| e.epoch() == claim.epoch) {
-                    self.estates.remove(&claim.life);
+            LifeEntry::Forget(life) => drop(self.recently_ended.remove(&life)),
+            LifeEntry::Settle(succession) => {
+                if self.unsettled.get(&succession.life).is_some_and(|e| e.epoch() == succession.epoch) {
+                    self.unsettled.remove(&succession.life);
                 }
             }
         }
     }
 
     fn enrol(&mut self, who: Enrolled) {
-        let known = self.life_of(who.draw).is_some();
+        let known = self.life_of(who.process_token).is_some();
         if known || self.enrolled.len() >= MAX_MEMBERS {
             return;
         }
         self.last += 1;
-        self.roll += 1;
-        let who = Enrolled { name: cut(&who.name), zone: who.zone.as_deref().map(cut), ..who };
+        self.list_number += 1;
+        let who =
+            Enrolled { name: truncate_text(&who.name), zone: who.zone.as_deref().map(truncate_text), ..who };
         self.enrolled.insert(self.last, who);
     }
 }
 
 /// The next number of a pseudorandom sequence (Knuth's 64-bit linear congruential generator, The Art of Computer
 /// Programming, volume 2, section 3.3.4). Its upper bits are the more random ones.
-pub fn drawn(last: u64) -> u64 {
+pub fn next_random(last: u64) -> u64 {
     last.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f)
 }
 
@@ -201,19 +206,21 @@
 /// none, and waits as long as the previous leader could have had to.
 #[derive(Debug, Default)]
 pub struct LifeMonitor {
-    /// When each process last asked for a lease, by its draw.
+    /// When each process last asked for a lease, by its process token.
     last_asked: BTreeMap<u64, Time>,
     /// When each ended life was first seen in the log here.
-    ended: BTreeMap<Life, Time>,
+    ended: BTreeMap<ProcessId, Time>,
     /// Proxies that refused a connection, and when that was reported.
     unreachable: BTreeMap<String, Time>,
 }
 
 impl LifeMonitor {
     /// Records a lease request of a process.
-    pub fn record_ask(&mut self, now: Time, draw: u64) {
-        if draw != 0 && (self.last_asked.len() < 2 * MAX_MEMBERS || self.last_asked.contains_key(&draw)) {
-            self.last_asked.insert(draw, now);
+    pub fn record_ask(&mut self, now: Time, process_token: u64) {
+        if process_token != 0
+            && (self.last_asked.len() < 2 * MAX_MEMBERS || self.last_asked.contains_key(&process_token))
+        {
+            self.last_asked.insert(process_token, now);
         }
     }
 
@@ -226,71 +233,88 @@
 
     /// Records newly ended lives. Every voter calls it after applying entries, leader or not.
     pub fn record_ended(&mut self, now: Time, lives: &Lives) {
-        let known = |life: &Life| lives.estates.contains_key(life) || lives.departed.contains_key(life);
+        let known =
+            |life: &ProcessId| lives.unsettled.contains_key(life) || lives.recently_ended.contains_key(life);
         self.ended.retain(|life, _| known(life));
-        for life in lives.estates.keys().chain(lives.departed.keys()) {
+        for life in lives.unsettled.keys().chain(lives.recently_ended.keys()) {
             self.ended.entry(*life).or_insert(now);
         }
     }
 
     /// Expires observations that are no longer needed.
     pub fn expire(&mut self, now: Time, lives: &Lives, live: Duration) {
-        self.last_asked.retain(|draw, at| now < *at + live * 20 || lives.life_of(*draw).is_some());
+        self.last_asked
+            .retain(|process_token, at| now < *at + live * 20 || lives.life_of(*process_token).is_some());
         self.unreachable.retain(|_, at| now < *at + live);
     }
 
     /// The entries that a leader that has led since `led` should propose now. `retention` is how long ended lives are
     /// remembered.
     pub fn due_entries(
-        &self, now: Time, led: Time, lives: &Lives, span: Span, retention: Duration,
+        &self, now: Time, led: Time, lives: &Lives, lease_bound: LeaseBound, retention: Duration,
     ) -> Vec<LifeEntry> {
-        let old = |life: &&Life| self.ended.get(*life).is_some_and(|at| now > *at + retention);
+        let old = |life: &&ProcessId| self.ended.get(*life).is_some_and(|at| now > *at + retention);
         let mut all: Vec<LifeEntry> =
-            lives.departed.keys().filter(old).map(|life| LifeEntry::Forget(*life)).collect();
-        self.fence(now, led, lives, span, &mut all);
-        self.claim(now, lives, span, &mut all);
+            lives.recently_ended.keys().filter(old).map(|life| LifeEntry::Forget(*life)).collect();
+        self.fence(now, led, lives, lease_bound, &mut all);
+        self.name_successors(now, lives, lease_bound, &mut all);
         all
     }
 
     /// Fences lives that have not asked for a lease for 3/5 of T, or whose proxy refuses connections. A process that is
-    /// fenced wrongly enrols again, and its requests in flight go to an heir: this costs work but is safe.
-    fn fence(&self, now: Time, led: Time, lives: &Lives, span: Span, all: &mut Vec<LifeEntry>) {
-        let silence = span.bound * 3 / 5;
-        let over = |(_, who): &(&Life, &Enrolled)| {
-            let asked = self.last_asked.get(&who.draw).copied().unwrap_or(led).max(led);
+    /// fenced wrongly enrols again, and its requests in flight go to a successor: this costs work but is safe.
+    fn fence(&self, now: Time, led: Time, lives: &Lives, lease_bound: LeaseBound, all: &mut Vec<LifeEntry>) {
+        let silence = lease_bound.bound * 3 / 5;
+        let over = |(_, who): &(&ProcessId, &Enrolled)| {
+            let asked = self.last_asked.get(&who.process_token).copied().unwrap_or(led).max(led);
             let gone = self.unreachable.get(&who.name).is_some_and(|at| *at > asked);
             now > asked + silence || gone
         };
-        let fence = |(life, _): (&Life, &Enrolled)| LifeEntry::Fence { life: *life, told: false };
+        let fence = |(life, _): (&ProcessId, &Enrolled)| LifeEntry::Fence { life: *life, told: false };
         all.extend(lives.enrolled.iter().filter(over).map(fence));
     }
 
-    /// Names heirs for estates whose heir is missing or has ended, once all leases of the ended lives have run out.
-    fn claim(&self, now: Time, lives: &Lives, span: Span, all: &mut Vec<LifeEntry>) {
-        let wait = span.drift.at_least(span.bound);
-        let ended = |life: &Life| match lives.estates.get(life) {
-            Some(estate) => estate.told || self.ended.get(life).is_some_and(|at| now > *at + wait),
+    /// Names successors for unsettled lives whose successor is missing or has ended, once all leases of the ended lives
+    /// have run out.
+    fn name_successors(&self, now: Time, lives: &Lives, lease_bound: LeaseBound, all: &mut Vec<LifeEntry>) {
+        let wait = lease_bound.drift.at_least(lease_bound.bound);
+        let ended = |life: &ProcessId| match lives.unsettled.get(life) {
+            Some(unsettled_life) => {
+                unsettled_life.told || self.ended.get(life).is_some_and(|at| now > *at + wait)
+            }
             None => true, // settled already
         };
-        let needs_heir = |(life, estate): &(&Life, &Estate)| match estate.heir {
-            Some((heir, _)) => !lives.enrolled.contains_key(&heir) && ended(life) && ended(&heir),
-            None => ended(life),
+        let needs_successor =
+            |(life, unsettled_life): &(&ProcessId, &UnsettledLife)| match unsettled_life.successor {
+                Some((successor, _)) => {
+                    !lives.enrolled.contains_key(&successor) && ended(life) && ended(&successor)
+                }
+                None => ended(life),
+            };
+        // Every leader chooses the same successor, and different lives get different successors: the requests of
+        // processes that end together are spread.
+        let successor = |life: ProcessId| {
+            lives
+                .enrolled
+                .keys()
+                .copied()
+                .max_by_key(|successor| rendezvous_weight(&life.to_le_bytes(), *successor))
         };
-        // Every leader chooses the same heir, and different lives get different heirs: the requests of processes that
-        // end together are spread.
-        let heir =
-            |life: Life| lives.enrolled.keys().copied().max_by_key(|heir| weight(&life.to_le_bytes(), *heir));
-        let claim = |(life, estate): (&Life, &Estate)| {
-            Some(LifeEntry::Claim { life: *life, heir: heir(*life)?, after: estate.epoch() })
+        let succession = |(life, unsettled_life): (&ProcessId, &UnsettledLife)| {
+            Some(LifeEntry::Succession {
+                life: *life,
+                successor: successor(*life)?,
+                after: unsettled_life.epoch(),
+            })
         };
-        all.extend(lives.estates.iter().filter(needs_heir).filter_map(claim));
+        all.extend(lives.unsettled.iter().filter(needs_successor).filter_map(succession));
     }
 }
 
 /// Rendezvous hashing weight of a life for a key: the life with the highest weight is chosen, the same one on every
 /// node (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking
 /// 6, 1998).
-pub fn weight(key: &[u8], life: Life) -> u64 {
+pub fn rendezvous_weight(key: &[u8], life: ProcessId) -> u64 {
     let hash = blake3::hash(&[key, &life.to_le_bytes()].concat());
     u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("eight of thirty-two"))
 }
@@ -307,29 +331,33 @@
         Duration::from_millis(ms)
     }
 
-    fn span() -> Span {
-        Span { bound: T, drift: Drift::ppm(1000) }
+    fn lease_bound() -> LeaseBound {
+        LeaseBound { bound: T, drift: Drift::ppm(1000) }
     }
 
-    fn enrol(lives: &mut Lives, draw: u64) -> Life {
-        lives.apply(LifeEntry::Enrol(Enrolled { draw, name: format!("p{draw}"), zone: None }));
-        lives.life_of(draw).expect("room")
+    fn enrol(lives: &mut Lives, process_token: u64) -> ProcessId {
+        lives.apply(LifeEntry::Enrol(Enrolled {
+            process_token,
+            name: format!("p{process_token}"),
+            zone: None,
+        }));
+        lives.life_of(process_token).expect("room")
     }
 
     fn three_lives() -> (Lives, LifeMonitor) {
         let mut lives = Lives::default();
-        assert_eq!([7, 8, 9].map(|draw| enrol(&mut lives, draw)), [1, 2, 3]);
+        assert_eq!([7, 8, 9].map(|process_token| enrol(&mut lives, process_token)), [1, 2, 3]);
         (lives, LifeMonitor::default())
     }
 
-    fn record_asks(monitor: &mut LifeMonitor, now: u64, draws: &[u64]) {
-        draws.iter().for_each(|draw| monitor.record_ask(ms(now), *draw));
+    fn record_asks(monitor: &mut LifeMonitor, now: u64, tokens: &[u64]) {
+        tokens.iter().for_each(|process_token| monitor.record_ask(ms(now), *process_token));
     }
 
     #[test]
     fn a_duplicate_enrolment_counts_once_and_numbers_are_never_reused() {
         let (mut lives, _) = three_lives();
-        assert_eq!((enrol(&mut lives, 8), lives.roll()), (2, 3));
+        assert_eq!((enrol(&mut lives, 8), lives.list_number()), (2, 3));
         lives.apply(LifeEntry::Fence { life: 2, told: false });
         assert_eq!(enrol(&mut lives, 8), 4, "a late duplicate of its enrolment does not revive the old life");
     }
@@ -339,22 +367,28 @@
         let (mut lives, mut monitor) = three_lives();
         record_asks(&mut monitor, 100, &[7, 8, 9]);
         record_asks(&mut monitor, 650, &[7, 9]);
-        assert!(monitor.due_entries(ms(700), ms(0), &lives, span(), ms(60_000)).is_empty());
-        let fence = monitor.due_entries(ms(701), ms(0), &lives, span(), ms(60_000)).remove(0);
+        assert!(monitor.due_entries(ms(700), ms(0), &lives, lease_bound(), ms(60_000)).is_empty());
+        let fence = monitor.due_entries(ms(701), ms(0), &lives, lease_bound(), ms(60_000)).remove(0);
         assert_eq!(fence, LifeEntry::Fence { life: 2, told: false });
         lives.apply(fence);
         monitor.record_ended(ms(710), &lives);
         record_asks(&mut monitor, 1650, &[7, 9]);
-        let early = monitor.due_entries(ms(1711), ms(0), &lives, span(), ms(60_000));
+        let early = monitor.due_entries(ms(1711), ms(0), &lives, lease_bound(), ms(60_000));
         assert!(early.is_empty(), "on a slow clock its lease may not have ended");
-        let claim = monitor.due_entries(ms(1712), ms(0), &lives, span(), ms(60_000)).remove(0);
-        assert!(matches!(claim, LifeEntry::Claim { life: 2, heir: 1 | 3, .. }), "{claim:?}");
-        lives.apply(claim);
+        let succession = monitor.due_entries(ms(1712), ms(0), &lives, lease_bound(), ms(60_000)).remove(0);
+        assert!(
+            matches!(succession, LifeEntry::Succession { life: 2, successor: 1 | 3, .. }),
+            "{succession:?}"
+        );
+        lives.apply(succession);
         monitor.record_ended(ms(1715), &lives);
-        assert!(monitor.due_entries(ms(1716), ms(0), &lives, span(), ms(60_000)).is_empty());
+        assert!(monitor.due_entries(ms(1716), ms(0), &lives, lease_bound(), ms(60_000)).is_empty());
         record_asks(&mut monitor, 9000, &[7, 9]);
-        assert!(lives.departed().contains_key(&2));
-        assert_eq!(monitor.due_entries(ms(9000), ms(0), &lives, span(), ms(5000)), [LifeEntry::Forget(2)]);
+        assert!(lives.recently_ended().contains_key(&2));
+        assert_eq!(
+            monitor.due_entries(ms(9000), ms(0), &lives, lease_bound(), ms(5000)),
+            [LifeEntry::Forget(2)]
+        );
     }
 
     #[test]
@@ -364,19 +398,19 @@
         lives.apply(LifeEntry::Fence { life: 1, told: true });
         monitor.record_ended(ms(110), &lives);
         assert!(matches!(
-            monitor.due_entries(ms(111), ms(0), &lives, span(), ms(60_000))[..],
-            [LifeEntry::Claim { life: 1, .. }]
+            monitor.due_entries(ms(111), ms(0), &lives, lease_bound(), ms(60_000))[..],
+            [LifeEntry::Succession { life: 1, .. }]
         ));
         lives.apply(LifeEntry::Fence { life: 2, told: false });
         let (mut other, led) = (LifeMonitor::default(), ms(5000));
         other.record_ended(ms(5000), &lives);
         record_asks(&mut other, 5500, &[9]);
-        lives.apply(LifeEntry::Claim { life: 1, heir: 3, after: 0 });
-        assert!(other.due_entries(ms(5900), led, &lives, span(), ms(60_000)).is_empty());
+        lives.apply(LifeEntry::Succession { life: 1, successor: 3, after: 0 });
+        assert!(other.due_entries(ms(5900), led, &lives, lease_bound(), ms(60_000)).is_empty());
         record_asks(&mut other, 6000, &[9]);
         assert_eq!(
-            other.due_entries(ms(6002), led, &lives, span(), ms(60_000)),
-            [LifeEntry::Claim { life: 2, heir: 3, after: 0 }]
+            other.due_entries(ms(6002), led, &lives, lease_bound(), ms(60_000)),
+            [LifeEntry::Succession { life: 2, successor: 3, after: 0 }]
         );
     }
 
@@ -386,45 +420,47 @@
         record_asks(&mut monitor, 100, &[7, 8, 9]);
         monitor.record_unreachable(ms(150), "p8");
         assert_eq!(
-            monitor.due_entries(ms(151), ms(0), &lives, span(), ms(60_000)),
+            monitor.due_entries(ms(151), ms(0), &lives, lease_bound(), ms(60_000)),
             [LifeEntry::Fence { life: 2, told: false }]
         );
         record_asks(&mut monitor, 160, &[8]);
-        assert!(monitor.due_entries(ms(161), ms(0), &lives, span(), ms(60_000)).is_empty());
+        assert!(monitor.due_entries(ms(161), ms(0), &lives, lease_bound(), ms(60_000)).is_empty());
     }
 
     #[test]
     fn an_ended_heir_is_replaced_once_its_own_lease_has_ended() {
         let (mut lives, mut monitor) = three_lives();
         lives.apply(LifeEntry::Fence { life: 1, told: true });
-        lives.apply(LifeEntry::Claim { life: 1, heir: 2, after: 0 });
-        // A claim of another leader that was in flight has no effect.
-        lives.apply(LifeEntry::Claim { life: 1, heir: 3, after: 0 });
+        lives.apply(LifeEntry::Succession { life: 1, successor: 2, after: 0 });
+        // A succession of another leader that was in flight has no effect.
+        lives.apply(LifeEntry::Succession { life: 1, successor: 3, after: 0 });
         monitor.record_ended(ms(0), &lives);
-        let first = lives.claims_of(2)[0].clone();
+        let first = lives.successions_of(2)[0].clone();
         lives.apply(LifeEntry::Fence { life: 2, told: false });
         monitor.record_ended(ms(100), &lives);
         record_asks(&mut monitor, 1000, &[9]);
-        assert!(monitor.due_entries(ms(1000), ms(0), &lives, span(), ms(60_000)).is_empty());
-        let claim = LifeEntry::Claim { life: 1, heir: 3, after: first.epoch };
-        assert!(monitor.due_entries(ms(1102), ms(0), &lives, span(), ms(60_000)).contains(&claim));
-        lives.apply(claim);
-        let second = lives.claims_of(3)[0].clone();
+        assert!(monitor.due_entries(ms(1000), ms(0), &lives, lease_bound(), ms(60_000)).is_empty());
+        let succession = LifeEntry::Succession { life: 1, successor: 3, after: first.epoch };
+        assert!(
+            monitor.due_entries(ms(1102), ms(0), &lives, lease_bound(), ms(60_000)).contains(&succession)
+        );
+        lives.apply(succession);
+        let second = lives.successions_of(3)[0].clone();
         assert!(second.epoch > first.epoch);
         lives.apply(LifeEntry::Settle(first));
-        assert!(lives.estates().contains_key(&1), "a replaced heir can't settle");
+        assert!(lives.unsettled().contains_key(&1), "a replaced successor can't settle");
         lives.apply(LifeEntry::Settle(second));
-        assert!(!lives.estates().contains_key(&1));
+        assert!(!lives.unsettled().contains_key(&1));
     }
 
     #[test]
     fn unsettled_lives_are_bounded() {
         let mut lives = Lives::default();
-        for draw in 1..2 * MAX_ESTATES as u64 {
-            let life = enrol(&mut lives, draw);
+        for process_token in 1..2 * MAX_UNSETTLED_LIVES as u64 {
+            let life = enrol(&mut lives, process_token);
             lives.apply(LifeEntry::Fence { life, told: false });
         }
-        assert_eq!(lives.estates().len(), MAX_ESTATES);
+        assert_eq!(lives.unsettled().len(), MAX_UNSETTLED_LIVES);
         assert_eq!(lives.enrolled().len(), 0);
     }
 }
--- a/crates/sandgap-agree/src/log.rs
+++ b/crates/sandgap-agree/src/log.rs
@@ -8,7 +8,7 @@
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
 use crate::limits::RETAINED_ENTRIES;
-use crate::machine::{Entry as AgreedEntry, Machine, Seat};
+use crate::machine::{Entry as AgreedEntry, RulesMachine, Seat};
 use crate::rider::{RiderMessages, Riders, Unreadable};
 
 /// Numbers that a recovered voter skips, to stay clear of whatever a lost majority may have assigned.
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Image {
     /// Rules, voters and lives.
-    pub machine: Machine,
+    pub machine: RulesMachine,
     /// The states of the riders, by tag.
     pub parts: RiderMessages,
 }
@@ -77,7 +77,7 @@
 impl Saved {
     /// The initial store of a voter of a new fleet: its seat, and the set of voters.
     pub fn founding(seat: u64, seats: &BTreeMap<u64, Seat>) -> Self {
-        let image = Image { machine: Machine::new(seats.clone()), parts: RiderMessages::new() };
+        let image = Image { machine: RulesMachine::new(seats.clone()), parts: RiderMessages::new() };
         let snapshot = encode_snapshot(&image, 1, 1, conf_state(seats));
         Saved { seat, snapshot: Some((1, encode_proto(&snapshot))), ..Saved::default() }
     }
@@ -414,7 +414,7 @@
 
     #[test]
     fn snapshots_of_the_first_format_are_read_and_of_later_ones_refused() {
-        let machine = Machine::new(seats());
+        let machine = RulesMachine::new(seats());
         let mut saved = Saved::founding(1, &seats());
         let mut load_snapshot = |data: Vec<u8>| {
             let mut snapshot = Snapshot::default();
--- a/crates/sandgap-agree/src/machine.rs
+++ b/crates/sandgap-agree/src/machine.rs
@@ -8,8 +8,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::contradict::contradicts;
-use crate::limits::{MAX_VERSIONS, MAX_VERSIONS_BYTES, cut};
+use crate::contradictions::contradicts;
+use crate::limits::{MAX_VERSIONS, MAX_VERSIONS_BYTES, truncate_text};
 use crate::lives::{LifeEntry, Lives};
 use crate::rider::Tag;
 use crate::rulebook::{Digest, Rulebook, Version, digest};
@@ -58,11 +58,12 @@
 
 /// The state of a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum VersionState {
     /// Proposed; proxies check it.
     Pending,
     /// In force now, or in the past.
-    Stood,
+    #[serde(rename = "Stood")]
+    InForce,
     /// Abandoned, with a reason for each proxy that prevented it.
     Abandoned(Vec<(String, String)>),
 }
@@ -79,7 +80,7 @@
     /// The publisher's reason.
     pub why: String,
     /// Its state.
-    pub fate: Fate,
+    pub state: VersionState,
     /// Whether it contradicts the version that was in force when it was proposed.
     pub contradicts: bool,
     book: Rc<[u8]>,
@@ -96,23 +97,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// It is pending under this version, and proxies check it.
-    PutForward(Version),
+    Pending(Version),
     /// It is a duplicate of the proposal that has this version.
-    Again(Version),
+    Duplicate(Version),
     /// The version that its publisher saw is not the one in force.
-    Lost {
+    StaleParent {
         /// The version in force.
         standing: Version,
     },
     /// Another version is pending.
-    Busy(Version),
+    OtherPending(Version),
     /// The rulebook can't be decoded.
     Unreadable(String),
 }
 
 /// The state of the replicated log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Machine {
+pub struct RulesMachine {
     /// The version in force; 0 before the first.
     standing: Version,
     /// Whether it has been closed ahead of the pending one.
@@ -128,10 +129,10 @@
     lives: Lives,
 }
 
-impl Machine {
+impl RulesMachine {
     /// The initial state, with no version in force.
     pub fn new(seats: BTreeMap<u64, Seat>) -> Self {
-        Machine { seats, ..Machine::default() }
+        RulesMachine { seats, ..RulesMachine::default() }
     }
 
     /// Skips numbers that a lost majority may have assigned.
@@ -182,7 +183,7 @@
             Entry::Switch(version) => {
                 if self.pending == Some(version) {
                     (self.standing, self.pending, self.closed) = (version, None, false);
-                    self.set_fate(version, Fate::Stood);
+                    self.set_state(version, VersionState::InForce);
                     self.evict_old_versions();
                 }
                 None
@@ -195,8 +196,11 @@
             Entry::Abandon(version, why) => {
                 if self.pending == Some(version) {
                     (self.pending, self.closed) = (None, false);
-                    let why = why.into_iter().map(|(who, why)| (cut(&who), cut(&why))).collect();
-                    self.set_fate(version, Fate::Abandoned(why));
+                    let why = why
+                        .into_iter()
+                        .map(|(who, why)| (truncate_text(&who), truncate_text(&why)))
+                        .collect();
+                    self.set_state(version, VersionState::Abandoned(why));
                 }
                 None
             }
@@ -206,13 +210,13 @@
     fn propose(&mut self, proposal: Proposal) -> Verdict {
         let Proposal { id, parent, book, by, why } = proposal;
         if let Some((version, _)) = self.versions.iter().find(|(_, r)| r.id == id) {
-            return Verdict::Again(*version);
+            return Verdict::Duplicate(*version);
         }
         if parent != self.standing {
-            return Verdict::Lost { standing: self.standing };
+            return Verdict::StaleParent { standing: self.standing };
         }
         if let Some(pending) = self.pending {
-            return Verdict::Busy(pending);
+            return Verdict::OtherPending(pending);
         }
         let new = match Rulebook::decode(&book) {
             Ok(new) => new,
@@ -221,17 +225,17 @@
         let old = self.versions.get(&self.standing).and_then(|old| Rulebook::decode(&old.book).ok());
         let contradicts = old.is_some_and(|old| !contradicts(&old, &new).is_empty());
         self.last += 1;
-        let (by, why, fate) = (cut(&by), cut(&why), Fate::Pending);
-        let record = Record { digest: digest(&book), id, by, why, fate, contradicts, book: book.into() };
+        let (by, why, state) = (truncate_text(&by), truncate_text(&why), VersionState::Pending);
+        let record = Record { digest: digest(&book), id, by, why, state, contradicts, book: book.into() };
         self.versions.insert(self.last, record);
         self.pending = Some(self.last);
         self.evict_old_versions();
-        Verdict::PutForward(self.last)
+        Verdict::Pending(self.last)
     }
 
-    fn set_fate(&mut self, version: Version, fate: Fate) {
+    fn set_state(&mut self, version: Version, state: VersionState) {
         if let Some(record) = self.versions.get_mut(&version) {
-            record.fate = fate;
+            record.state = state;
         }
     }
 
@@ -252,7 +256,7 @@
     use super::*;
     use crate::rulebook::example;
 
-    fn propose(machine: &mut Machine, id: u64, parent: Version) -> Verdict {
+    fn propose(machine: &mut RulesMachine, id: u64, parent: Version) -> Verdict {
         let mut book = example();
         book.limits.max_attempts = id as u32 + 1;
         let book = book.encode().expect("small");
@@ -262,36 +266,36 @@
 
     #[test]
     fn concurrent_and_duplicate_proposals_get_their_verdicts() {
-        let mut machine = Machine::default();
-        assert_eq!(propose(&mut machine, 1, 0), Verdict::PutForward(1));
-        assert_eq!(propose(&mut machine, 2, 0), Verdict::Busy(1));
-        assert_eq!(propose(&mut machine, 1, 0), Verdict::Again(1));
+        let mut machine = RulesMachine::default();
+        assert_eq!(propose(&mut machine, 1, 0), Verdict::Pending(1));
+        assert_eq!(propose(&mut machine, 2, 0), Verdict::OtherPending(1));
+        assert_eq!(propose(&mut machine, 1, 0), Verdict::Duplicate(1));
         machine.apply(Entry::Switch(1));
-        assert_eq!(propose(&mut machine, 3, 0), Verdict::Lost { standing: 1 });
-        assert_eq!(propose(&mut machine, 3, 1), Verdict::PutForward(2));
+        assert_eq!(propose(&mut machine, 3, 0), Verdict::StaleParent { standing: 1 });
+        assert_eq!(propose(&mut machine, 3, 1), Verdict::Pending(2));
         assert!(machine.version(2).expect("kept").contradicts);
     }
 
     #[test]
     fn entries_of_a_deposed_leader_are_ignored() {
-        let mut machine = Machine::default();
+        let mut machine = RulesMachine::default();
         propose(&mut machine, 1, 0);
         machine.apply(Entry::Abandon(1, vec![("p3".into(), "no such zone".into())]));
         machine.apply(Entry::Switch(1));
         machine.apply(Entry::Close(1));
         assert_eq!((machine.standing(), machine.pending(), machine.is_closed()), (0, None, false));
-        assert_eq!(propose(&mut machine, 2, 0), Verdict::PutForward(2), "version numbers are never reused");
+        assert_eq!(propose(&mut machine, 2, 0), Verdict::Pending(2), "version numbers are never reused");
         machine.apply(Entry::Abandon(1, vec![]));
         assert_eq!(machine.pending(), Some(2));
     }
 
     #[test]
     fn history_is_bounded_and_keeps_the_version_in_force() {
-        let mut machine = Machine::default();
+        let mut machine = RulesMachine::default();
         propose(&mut machine, 1, 0);
         machine.apply(Entry::Switch(1));
         for id in 2..3 * MAX_VERSIONS as u64 {
-            assert!(matches!(propose(&mut machine, id, 1), Verdict::PutForward(_)));
+            assert!(matches!(propose(&mut machine, id, 1), Verdict::Pending(_)));
             let pending = machine.pending().expect("just proposed");
             machine.apply(Entry::Abandon(pending, vec![]));
         }
@@ -301,7 +305,7 @@
 
     #[test]
     fn an_undecodable_proposal_is_refused_under_its_id() {
-        let mut machine = Machine::default();
+        let mut machine = RulesMachine::default();
         let proposal = Proposal { id: 1, parent: 0, book: vec![9; 9], by: "x".into(), why: "y".into() };
         let (id, verdict) = machine.apply(Entry::Propose(proposal)).expect("a verdict");
         assert!(id == 1 && matches!(verdict, Verdict::Unreadable(_)));
--- a/crates/sandgap-agree/src/messages.rs
+++ b/crates/sandgap-agree/src/messages.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::lives::{Claim, Enrolled, Life, LifeEntry};
+use crate::lives::{Enrolled, LifeEntry, ProcessId, Succession};
 use crate::machine::{Proposal, Verdict};
 use crate::rider::{RiderMessages, Tag};
 use crate::rulebook::{Digest, Version};
@@ -39,7 +39,8 @@
     /// Requests that it has refused for lack of a lease, since its start.
     pub refused: u64,
     /// The random number that identifies its process, if it is or wants to be enrolled; else 0.
-    pub draw: u64,
+    #[serde(rename = "draw")]
+    pub process_token: u64,
     /// Its messages to the riders of the log.
     #[serde(rename = "told")]
     pub rider_messages: RiderMessages,
@@ -67,7 +68,7 @@
     pub standing: RulesState,
     /// The voters, with their addresses.
     pub voters: Vec<(String, SocketAddr)>,
-    /// The enrolment of the process that asked, if its report has a `draw`.
+    /// The enrolment of the process that asked, if its report has a process token.
     pub enrolment: Option<EnrolmentState>,
     /// The messages of the log's riders to the proxy that asked.
     pub rider_messages: RiderMessages,
@@ -77,11 +78,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EnrolmentState {
     /// Its life, if it is enrolled.
-    pub life: Option<Life>,
+    pub life: Option<ProcessId>,
     /// The ended lives for which it acts.
-    pub claims: Vec<Claim>,
-    /// The number of the membership list, see [`crate::lives::Lives::roll`].
-    pub roll: u64,
+    pub successions: Vec<Succession>,
+    /// The number of the membership list, see [`crate::lives::Lives::list_number`].
+    pub list_number: u64,
 }
 
 /// A member, as the leader knows it.
@@ -103,7 +104,8 @@
     /// The digest of its rulebook.
     pub digest: Digest,
     /// Its state.
-    pub fate: crate::machine::Fate,
+    #[serde(rename = "fate")]
+    pub state: crate::machine::VersionState,
     /// Whether it contradicts the version that was in force when it was proposed.
     pub contradicts: bool,
     /// Who published it.
@@ -185,8 +187,8 @@
     /// Requests the membership list, if its number is higher than this one.
     FetchMembers(u64),
     /// The membership list: its number, the enrolled lives, and those that ended recently.
-    Members(u64, Vec<(Life, Enrolled)>, Vec<(Life, Enrolled)>),
-    /// To a proxy: it has become a successor and should ask for its claims.
+    Members(u64, Vec<(ProcessId, Enrolled)>, Vec<(ProcessId, Enrolled)>),
+    /// To a proxy: it has become a successor and should ask for its successions.
     BecameSuccessor,
     /// Proposes an entry of a rider, under a number that the answer repeats.
     ProposeRiderEntry(u64, Tag, Vec<u8>),
--- a/crates/sandgap-agree/src/rider.rs
+++ b/crates/sandgap-agree/src/rider.rs
@@ -11,10 +11,10 @@
 use sandgap_fleet::Time;
 
 use crate::limits::MAX_RIDER_MESSAGE_BYTES;
-use crate::machine::Machine;
+use crate::machine::RulesMachine;
 use crate::messages::Report;
 use crate::rulebook::Rulebook;
-use crate::terms::Terms;
+use crate::timing::Timing;
 
 /// Identifies a rider in the log and on links. A tag is never reused.
 pub type Tag = u8;
@@ -56,9 +56,9 @@
     /// Since when it has led.
     pub led: Time,
     /// The timing parameters.
-    pub terms: &'a Terms,
+    pub timing: &'a Timing,
     /// Rules, voters and lives.
-    pub machine: &'a Machine,
+    pub machine: &'a RulesMachine,
     /// Members that have asked for a lease recently.
     pub members: &'a BTreeMap<String, MemberReport>,
 }
@@ -66,12 +66,12 @@
 impl LeaderView<'_> {
     /// Whether the leader has led for long enough to have a report of every member that holds a lease.
     pub fn knows_all(&self) -> bool {
-        self.now >= self.led + self.terms.live()
+        self.now >= self.led + self.timing.lease_horizon()
     }
 
     /// Members that may hold a lease, as far as the leader knows.
     pub fn live(&self) -> impl Iterator<Item = (&String, &MemberReport)> {
-        let (now, live) = (self.now, self.terms.live());
+        let (now, live) = (self.now, self.timing.lease_horizon());
         self.members.iter().filter(move |(_, k)| k.at + live >= now)
     }
 
--- a/crates/sandgap-agree/src/voter/lead.rs
+++ b/crates/sandgap-agree/src/voter/lead.rs
@@ -4,8 +4,8 @@
 use sandgap_fleet::Time;
 
 use super::{Action, ELECTION_TICKS, REPROPOSE_TICKS, Voter};
-use crate::limits::{DEPARTED_RETENTION, MAX_MEMBERS};
-use crate::lives::{Life, LifeEntry};
+use crate::limits::{MAX_MEMBERS, RECENTLY_ENDED_RETENTION};
+use crate::lives::{LifeEntry, ProcessId};
 use crate::machine::{Entry, Proposal};
 use crate::messages::{Message, Report};
 use crate::rider::{MemberReport, RiderProposal, Tag};
@@ -26,7 +26,7 @@
         let Some(version) = self.machine.pending() else { return };
         // Members that have not asked since this voter became leader may still hold a lease. After this wait, every
         // holder has asked.
-        if now < led + self.terms.live()
+        if now < led + self.timing.lease_horizon()
             || self.ticks < self.proposed_tick + REPROPOSE_TICKS && self.proposed_tick > 0
         {
             return;
@@ -39,11 +39,17 @@
 
     /// Proposes the entries about lives that are due, for each life at most every [`REPROPOSE_TICKS`].
     pub(super) fn decide_lives(&mut self, now: Time, led: Time) {
-        let due =
-            self.monitor.due_entries(now, led, self.machine.lives(), self.terms.span, DEPARTED_RETENTION);
+        let due = self.monitor.due_entries(
+            now,
+            led,
+            self.machine.lives(),
+            self.timing.lease_bound,
+            RECENTLY_ENDED_RETENTION,
+        );
         for entry in due {
-            let (LifeEntry::Fence { life, .. } | LifeEntry::Claim { life, .. } | LifeEntry::Forget(life)) =
-                entry
+            let (LifeEntry::Fence { life, .. }
+            | LifeEntry::Succession { life, .. }
+            | LifeEntry::Forget(life)) = entry
             else {
                 continue;
             };
@@ -72,9 +78,9 @@
         }
         if !missing.is_empty() {
             let since = self.pending_since.filter(|(v, _)| *v == version).map_or(now, |(_, at)| at);
-            return (now >= since + self.terms.hold).then_some(Entry::Abandon(version, missing));
+            return (now >= since + self.timing.proposal_timeout).then_some(Entry::Abandon(version, missing));
         }
-        let apart = self.terms.apart && self.machine.version(version).is_some_and(|r| r.contradicts);
+        let apart = self.timing.keep_apart && self.machine.version(version).is_some_and(|r| r.contradicts);
         if !apart {
             return Some(Entry::Switch(version));
         }
@@ -82,9 +88,9 @@
             return Some(Entry::Close(version));
         }
         // By then, all leases requested before the close have ended, even on a drifting clock.
-        let span = self.terms.span;
+        let lease_bound = self.timing.lease_bound;
         let closed = self.closed_since.filter(|(v, _)| *v == version)?.1;
-        (now > closed + span.drift.at_least(span.bound)).then_some(Entry::Switch(version))
+        (now > closed + lease_bound.drift.at_least(lease_bound.bound)).then_some(Entry::Switch(version))
     }
 
     /// Lets a leader decide at once when a report arrives, instead of at its next tick.
@@ -95,11 +101,12 @@
     }
 
     pub(super) fn record_report(&mut self, now: Time, who: String, report: Report) {
-        self.monitor.record_ask(now, report.draw);
+        self.monitor.record_ask(now, report.process_token);
         // A reordered older report must not replace a later one. The numbers of a new process start at a random value,
         // so a lower number is accepted once the known report is no longer fresh.
-        let reordered =
-            |k: &MemberReport| report.serial < k.report.serial && now < k.at + self.terms.live() / 6;
+        let reordered = |k: &MemberReport| {
+            report.serial < k.report.serial && now < k.at + self.timing.lease_horizon() / 6
+        };
         if self.members.get(&who).is_some_and(reordered) {
             return;
         }
@@ -108,11 +115,13 @@
         }
     }
 
-    /// Lets a leader notify an heir at once instead of with its next grant.
-    pub(super) fn notify_heir(&mut self, life: Life, heir: Life, out: &mut Vec<Action>) {
-        let Some(heir) = self.machine.lives().enrolled().get(&heir).filter(|_| self.leads()) else { return };
-        out.push(Action::Note(format!("lives: '{}' is the heir to life {life}", heir.name)));
-        out.push(Action::Send(heir.name.clone(), Message::BecameSuccessor));
+    /// Lets a leader notify a successor at once instead of with its next grant.
+    pub(super) fn notify_successor(&mut self, life: ProcessId, successor: ProcessId, out: &mut Vec<Action>) {
+        let Some(successor) = self.machine.lives().enrolled().get(&successor).filter(|_| self.leads()) else {
+            return;
+        };
+        out.push(Action::Note(format!("lives: '{}' is the heir to life {life}", successor.name)));
+        out.push(Action::Send(successor.name.clone(), Message::BecameSuccessor));
     }
 
     /// Records when the pending version, and its close, were first seen here.
@@ -153,8 +162,8 @@
     /// Proposes the entries that riders ask for, each at most every [`REPROPOSE_TICKS`].
     pub(super) fn propose_for_riders(&mut self, now: Time) {
         let Some(led) = self.leading_since.filter(|_| self.leads()) else { return };
-        let (terms, machine, members) = (&self.terms, &self.machine, &self.members);
-        let view = crate::rider::LeaderView { now, led, terms, machine, members };
+        let (timing, machine, members) = (&self.timing, &self.machine, &self.members);
+        let view = crate::rider::LeaderView { now, led, timing, machine, members };
         for (tag, proposal) in self.riders.proposals(&view) {
             match proposal {
                 RiderProposal::Own(entry) => self.propose_for_rider(tag, entry),
--- a/crates/sandgap-agree/src/voter/mod.rs
+++ b/crates/sandgap-agree/src/voter/mod.rs
@@ -22,18 +22,18 @@
     MAX_MEMBERS, MAX_PENDING_WRITES, MAX_PUBLISHERS, MAX_RIDER_ENTRY_BYTES, MAX_WAITING_ASKS,
     SNAPSHOT_INTERVAL_ENTRIES,
 };
-use crate::lives::{Life, LifeEntry, LifeMonitor};
+use crate::lives::{LifeEntry, LifeMonitor, ProcessId};
 use crate::log::{
     Damaged, Image, Log, Saved, Write, decode_proto, decode_snapshot, encode_proto, encode_snapshot,
 };
-use crate::machine::{Entry, Machine, Proposal, Verdict};
+use crate::machine::{Entry, Proposal, RulesMachine, Verdict};
 use crate::messages::{EnrolmentState, MemberStatus, Message, Report, RulesState, Status, VersionSummary};
 use crate::rider::{LeaderView, MemberReport, Riders, Tag};
 use crate::rulebook::{Rulebook, Version};
-use crate::terms::Terms;
+use crate::timing::Timing;
 use rounds::{Round, WaitingAsk};
 
-pub use seats::fresh_seat;
+pub use seats::new_seat_number;
 
 /// Election timeout in ticks; the actual timeout is random between this and twice this.
 const ELECTION_TICKS: usize = 10;
@@ -66,9 +66,9 @@
 pub struct Voter {
     seat: u64,
     name: String,
-    terms: Terms,
+    timing: Timing,
     node: RawNode<Log>,
-    machine: Machine,
+    machine: RulesMachine,
     applied: u64,
     applied_term: u64,
     /// Seed of the election timeouts.
@@ -93,7 +93,7 @@
     leading_since: Option<Time>,
     monitor: LifeMonitor,
     /// The tick at which something about a life was last proposed.
-    life_proposed: BTreeMap<Life, u64>,
+    life_proposed: BTreeMap<ProcessId, u64>,
     /// Voters to which a snapshot is being sent, and the tick at which that was first seen.
     snapshots: BTreeMap<u64, u64>,
     /// When the pending version was first seen as pending.
@@ -140,7 +140,7 @@
     /// # Errors
     /// If the store is damaged: then this voter must not take part under its old seat.
     pub fn new(
-        now: Time, name: &str, terms: Terms, saved: &Saved, mut riders: Riders, seed: u64,
+        now: Time, name: &str, timing: Timing, saved: &Saved, mut riders: Riders, seed: u64,
     ) -> Result<Self, Damaged> {
         let (log, Image { machine, parts }) = Log::load(saved)?;
         riders.restore(&parts)?;
@@ -162,14 +162,14 @@
         let mut voter = Voter {
             seat: saved.seat,
             name: name.to_owned(),
-            terms,
+            timing,
             node,
             machine,
             applied,
             applied_term: 0,
             seed,
             ticks: 0,
-            next_tick: now + terms.tick,
+            next_tick: now + timing.tick,
             routes: BTreeMap::new(),
             waiting: Vec::new(),
             rounds: VecDeque::new(),
@@ -207,7 +207,7 @@
     }
 
     /// The state that the log has built so far.
-    pub fn machine(&self) -> &Machine {
+    pub fn machine(&self) -> &RulesMachine {
         &self.machine
     }
 
@@ -276,7 +276,7 @@
 
     /// Whether the disk is too far behind to be given more writes.
     fn disk_is_stalled(&self, now: Time) -> bool {
-        let limit = self.terms.tick * ELECTION_TICKS as u32;
+        let limit = self.timing.tick * ELECTION_TICKS as u32;
         self.unacked_writes.len() > MAX_PENDING_WRITES
             || self.unacked_writes.front().is_some_and(|(_, at)| *at + limit < now)
     }
@@ -295,7 +295,7 @@
             return;
         }
         // After a standstill the process continues with the next tick; missed ticks are not made up for.
-        self.next_tick = now + self.terms.tick;
+        self.next_tick = now + self.timing.tick;
         self.ticks += 1;
         if self.disk_is_stalled(now) {
             // A voter with a stalled disk neither campaigns nor stays the leader.
@@ -315,15 +315,15 @@
     }
 
     fn expire_state(&mut self, now: Time) {
-        let old = |at: Time, span: Duration| at + span < now;
-        let live = self.terms.live();
+        let old = |at: Time, lease_bound: Duration| at + lease_bound < now;
+        let live = self.timing.lease_horizon();
         self.clients.retain(|_, at| !old(*at, live));
         self.members.retain(|_, known| !old(known.at, live * 20));
         self.monitor.expire(now, self.machine.lives(), live);
         let ticks = self.ticks;
         self.life_proposed.retain(|_, at| ticks < *at + REPROPOSE_TICKS);
         self.rider_proposed.retain(|_, at| ticks < *at + REPROPOSE_TICKS);
-        let bound = self.terms.span.bound;
+        let bound = self.timing.lease_bound.bound;
         self.rounds.retain(|round| !old(round.begun, bound));
     }
 
@@ -369,7 +369,7 @@
         if origin.is_none() && (self.clients.len() < MAX_MEMBERS || self.clients.contains_key(&who)) {
             self.clients.insert(who.clone(), now);
         }
-        let draw = report.draw;
+        let process_token = report.process_token;
         if self.leads() {
             self.record_report(now, who, report);
         } else if self.reports.len() < MAX_MEMBERS {
@@ -377,7 +377,7 @@
             self.send_reports(out);
         }
         if self.waiting.len() < MAX_WAITING_ASKS {
-            self.waiting.push(WaitingAsk { from: from.to_owned(), origin, number, draw });
+            self.waiting.push(WaitingAsk { from: from.to_owned(), origin, number, process_token });
         }
         self.drive(now, out);
     }
@@ -454,7 +454,7 @@
 
     fn view(&self, now: Time) -> LeaderView<'_> {
         let led = self.leading_since.unwrap_or(now);
-        LeaderView { now, led, terms: &self.terms, machine: &self.machine, members: &self.members }
+        LeaderView { now, led, timing: &self.timing, machine: &self.machine, members: &self.members }
     }
 
     fn propose(&mut self, entry: &Entry) -> bool {
@@ -482,11 +482,11 @@
         }
     }
 
-    fn enrolment_state(&self, draw: u64) -> EnrolmentState {
+    fn enrolment_state(&self, process_token: u64) -> EnrolmentState {
         let lives = self.machine.lives();
-        let life = lives.life_of(draw);
-        let claims = life.map(|life| lives.claims_of(life)).unwrap_or_default();
-        EnrolmentState { life, claims, roll: lives.roll() }
+        let life = lives.life_of(process_token);
+        let successions = life.map(|life| lives.successions_of(life)).unwrap_or_default();
+        EnrolmentState { life, successions, list_number: lives.list_number() }
     }
 
     /// Acknowledges all writes up to a number.
@@ -635,9 +635,11 @@
             );
         };
         match &entry {
-            // Lets the claim for this life be proposed without waiting for REPROPOSE_TICKS.
+            // Lets the succession for this life be proposed without waiting for REPROPOSE_TICKS.
             Entry::Life(LifeEntry::Fence { life, .. }) => drop(self.life_proposed.remove(life)),
-            Entry::Life(LifeEntry::Claim { life, heir, .. }) => self.notify_heir(*life, *heir, out),
+            Entry::Life(LifeEntry::Succession { life, successor, .. }) => {
+                self.notify_successor(*life, *successor, out)
+            }
             Entry::Rider(tag, entry) => return self.apply_rider(*tag, entry, out),
             _ => {}
         }
@@ -648,7 +650,7 @@
         {
             out.push(Action::Send(who, Message::Published(id, verdict.clone())));
         }
-        if let Verdict::PutForward(version) = verdict {
+        if let Verdict::Pending(version) = verdict {
             out.push(Action::Note(format!("rules: version {version} is put forward")));
         }
     }
@@ -738,7 +740,7 @@
         let line = |(version, r): (Version, &crate::machine::Record)| VersionSummary {
             version,
             digest: r.digest,
-            fate: r.fate.clone(),
+            state: r.state.clone(),
             contradicts: r.contradicts,
             by: r.by.clone(),
             why: r.why.clone(),
--- a/crates/sandgap-agree/src/voter/rounds.rs
+++ b/crates/sandgap-agree/src/voter/rounds.rs
@@ -19,7 +19,7 @@
     pub(super) from: String,
     pub(super) origin: Option<String>,
     pub(super) number: u64,
-    pub(super) draw: u64,
+    pub(super) process_token: u64,
 }
 
 /// Lease requests under one confirmation.
@@ -61,7 +61,7 @@
             return;
         }
         // Requests that arrive meanwhile share the next round; a round without confirmation for a tick counts as lost.
-        if self.rounds.back().is_some_and(|r| r.index.is_none() && now < r.begun + self.terms.tick) {
+        if self.rounds.back().is_some_and(|r| r.index.is_none() && now < r.begun + self.timing.tick) {
             return;
         }
         let number = self.next_round;
@@ -98,8 +98,8 @@
             std::mem::take(&mut self.rounds).into_iter().partition(is_due);
         self.rounds = rest;
         for asked in due.into_iter().flat_map(|r| r.asked) {
-            let WaitingAsk { from, origin, number, draw } = asked;
-            let enrolment = (draw != 0).then(|| self.enrolment_state(draw));
+            let WaitingAsk { from, origin, number, process_token } = asked;
+            let enrolment = (process_token != 0).then(|| self.enrolment_state(process_token));
             let rider_messages = self.riders.message_for(origin.as_deref().unwrap_or(&from));
             let (standing, voters) = (standing.clone(), voters.clone());
             let grant = Grant { number, origin, standing, voters, enrolment, rider_messages };
--- a/crates/sandgap-agree/src/voter/seats.rs
+++ b/crates/sandgap-agree/src/voter/seats.rs
@@ -49,7 +49,7 @@
             VoterChange::Add(name, _) if of(name).is_some() => Err(format!("'{name}' is already a voter")),
             VoterChange::Add(name, address) => {
                 let seat = Seat { name: name.clone(), address: *address };
-                Ok(vec![(fresh_seat(name, self.applied), Some(seat))])
+                Ok(vec![(new_seat_number(name, self.applied), Some(seat))])
             }
             VoterChange::Remove(_) if self.machine.seats.len() == 1 => {
                 Err("the last voter can't be removed".into())
@@ -83,7 +83,7 @@
 }
 
 /// A new seat number, derived from the proxy's name and the log index, so that a repeated request gets the same number.
-pub fn fresh_seat(name: &str, index: u64) -> u64 {
+pub fn new_seat_number(name: &str, index: u64) -> u64 {
     let hash = blake3::hash(format!("{index} {name}").as_bytes());
     let bytes: [u8; 8] = hash.as_bytes()[..8].try_into().expect("eight of thirty-two");
     u64::from_le_bytes(bytes).max(1)
--- a/crates/sandgap-lab/src/agree/checker.rs
+++ b/crates/sandgap-lab/src/agree/checker.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use sandgap_agree::contradict::contradicts;
+use sandgap_agree::contradictions::contradicts;
 use sandgap_agree::{Digest, Rulebook, Version};
 
 use crate::calendar::{MS, Nanos};
--- a/crates/sandgap-lab/src/agree/host.rs
+++ b/crates/sandgap-lab/src/agree/host.rs
@@ -9,8 +9,8 @@
 use sandgap_agree::log::{Damaged, Saved};
 use sandgap_agree::machine::Seat;
 use sandgap_agree::rider::Riders;
-use sandgap_agree::voter::fresh_seat;
-use sandgap_agree::{Agent, Terms};
+use sandgap_agree::voter::new_seat_number;
+use sandgap_agree::{Agent, Timing};
 use sandgap_fleet::Time;
 
 use super::faults::Fault;
@@ -75,13 +75,14 @@
     /// # Errors
     /// If the contents of the disk are damaged; the agent then runs without a vote.
     pub fn start(
-        &mut self, now: Nanos, with_disk: bool, terms: Terms, voters: Vec<(String, SocketAddr)>, random: u64,
+        &mut self, now: Nanos, with_disk: bool, timing: Timing, voters: Vec<(String, SocketAddr)>,
+        random: u64,
     ) -> (Agent, Result<(), Damaged>) {
         self.incarnation += 1;
         (self.timer_at, self.paused, self.disk_busy_until) = (None, false, now);
         self.deferred.clear();
         let local = self.clock.local(now);
-        let mut agent = Agent::new(local, &self.name, terms, voters, random);
+        let mut agent = Agent::new(local, &self.name, timing, voters, random);
         agent.enlist(None);
         if !with_disk && self.disk.is_some() {
             self.disk = Some(Saved::blank(random.max(1)));
@@ -127,9 +128,9 @@
     let voters: Vec<&mut Host<E>> = hosts.collect();
     let seat = |host: &Host<E>| Seat { name: host.name.clone(), address: host.address };
     let seats: BTreeMap<u64, Seat> =
-        voters.iter().map(|host| (fresh_seat(&host.name, 0), seat(host))).collect();
+        voters.iter().map(|host| (new_seat_number(&host.name, 0), seat(host))).collect();
     for host in voters {
-        host.disk = Some(Saved::founding(fresh_seat(&host.name, 0), &seats));
+        host.disk = Some(Saved::founding(new_seat_number(&host.name, 0), &seats));
     }
 }
 
--- a/crates/sandgap-lab/src/agree/mod.rs
+++ b/crates/sandgap-lab/src/agree/mod.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use rayon::prelude::*;
-use sandgap_agree::Span;
-use sandgap_agree::Terms;
+use sandgap_agree::LeaseBound;
+use sandgap_agree::Timing;
 use sandgap_fleet::Drift;
 
 use crate::calendar::{MS, Nanos, SECOND};
@@ -80,9 +80,9 @@
 }
 
 impl Setup {
-    /// The agreement terms that the proxies are configured with.
-    pub fn terms(&self) -> Terms {
-        Terms::new(Span { bound: self.bound, drift: Drift::ppm(self.drift_ppm) }, self.apart)
+    /// The agreement timing that the proxies are configured with.
+    pub fn timing(&self) -> Timing {
+        Timing::new(LeaseBound { bound: self.bound, drift: Drift::ppm(self.drift_ppm) }, self.apart)
     }
 }
 
--- a/crates/sandgap-lab/src/agree/simulation.rs
+++ b/crates/sandgap-lab/src/agree/simulation.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 
 use rand::RngExt;
-use sandgap_agree::Span;
-use sandgap_agree::lives::{Claim, Epoch, Life};
+use sandgap_agree::LeaseBound;
+use sandgap_agree::enrolment::EnrolmentEvent;
+use sandgap_agree::lives::{Epoch, ProcessId, Succession};
 use sandgap_agree::log::Write;
 use sandgap_agree::machine::{Proposal, Verdict};
 use sandgap_agree::messages::Message;
 use sandgap_agree::rulebook::{Class, Effect, Limits, OnLapse, digest};
-use sandgap_agree::tenure::Turn;
-use sandgap_agree::{Agent, Digest, Output, Rulebook, Terms, Version};
+use sandgap_agree::{Agent, Digest, Output, Rulebook, Timing, Version};
 use sandgap_fleet::{Drift, Time};
 
 use super::checker::{Checker, Findings};
@@ -196,25 +196,28 @@
         }
     }
 
-    fn terms(&self, node: usize) -> Terms {
-        let terms = self.setup.terms();
-        let span = |bound, drift| Span { bound, drift };
+    fn timing(&self, node: usize) -> Timing {
+        let timing = self.setup.timing();
+        let lease_bound = |bound, drift| LeaseBound { bound, drift };
         match self.setup.flaw {
-            Some(Flaw::LongLease) => {
-                Terms { span: span(self.setup.bound * 3 / 2, terms.span.drift), ..terms }
-            }
+            Some(Flaw::LongLease) => Timing {
+                lease_bound: lease_bound(self.setup.bound * 3 / 2, timing.lease_bound.drift),
+                ..timing
+            },
             Some(Flaw::HeirTooSoon) if node < self.setup.voters => {
-                Terms { span: span(self.setup.bound / 4, Drift::ppm(0)), ..terms }
-            }
-            Some(Flaw::NoWait) if node < self.setup.voters => {
-                Terms { span: span(self.setup.bound, Drift::ppm(0)), apart: false, ..terms }
+                Timing { lease_bound: lease_bound(self.setup.bound / 4, Drift::ppm(0)), ..timing }
             }
-            _ => terms,
+            Some(Flaw::NoWait) if node < self.setup.voters => Timing {
+                lease_bound: lease_bound(self.setup.bound, Drift::ppm(0)),
+                keep_apart: false,
+                ..timing
+            },
+            _ => timing,
         }
     }
 
     fn start(&mut self, n: usize, with_disk: bool) {
-        let terms = self.terms(n);
+        let timing = self.timing(n);
         let voters: Vec<(String, SocketAddr)> =
             self.nodes[..self.setup.voters].iter().map(|v| (v.host.name.clone(), v.host.address)).collect();
         let now = self.now();
@@ -223,7 +226,7 @@
         if node.agent.is_some() {
             return;
         }
-        let (agent, votes) = node.host.start(now, with_disk, terms, voters, random);
+        let (agent, votes) = node.host.start(now, with_disk, timing, voters, random);
         if let Err(e) = votes {
             self.checker.violations.push(format!("p{n} can't start from its disk: {e}"));
         }
@@ -315,27 +318,27 @@
                 let name = digest(&book.encode().unwrap_or_default());
                 self.checker.record_content(version, name, &book);
             }
-            Output::Turn(Turn::Heir(claim)) => self.succeed(n, &claim),
+            Output::Turn(EnrolmentEvent::BecameSuccessor(succession)) => self.succeed(n, &succession),
             Output::Turn(_) | Output::Told(..) | Output::Note(_) => {}
         }
     }
 
-    fn succeed(&mut self, n: usize, claim: &Claim) {
+    fn succeed(&mut self, n: usize, succession: &Succession) {
         let (now, node) = (self.now(), &self.nodes[n]);
-        let (incarnation, epoch) = (node.host.incarnation, claim.epoch);
+        let (incarnation, epoch) = (node.host.incarnation, succession.epoch);
         if let Some((token, until)) = Self::token(node, now) {
             self.succession.record_right(token, until);
-            self.succession.record_successor(now, token, claim);
+            self.succession.record_successor(now, token, succession);
         }
         let settling = self.rng.random_range(MS..300 * MS);
         self.events.push(now + settling, Event::Settled { node: n, incarnation, epoch });
     }
 
     /// The process token under which a process may act, and until when.
-    fn token(node: &Node, now: Nanos) -> Option<(Life, Nanos)> {
-        let holder = node.agent.as_ref()?.holder()?;
-        let until = holder.permission(node.host.clock.local(now))?.until();
-        Some((holder.life()?, node.host.clock.shown(until)))
+    fn token(node: &Node, now: Nanos) -> Option<(ProcessId, Nanos)> {
+        let enrolment = node.agent.as_ref()?.enrolment()?;
+        let until = enrolment.permission(node.host.clock.local(now))?.until();
+        Some((enrolment.life()?, node.host.clock.shown(until)))
     }
 
     fn send(&mut self, from: usize, to: &str, message: Message) {
@@ -449,7 +452,7 @@
 
     fn publish_answered(&mut self, id: u64, verdict: &Verdict) {
         let Some((at, name)) = self.published.get(&id).copied() else { return };
-        if let Verdict::PutForward(version) = verdict {
+        if let Verdict::Pending(version) = verdict {
             self.checker.record_acknowledged(*version, name);
             self.unfinished.insert(*version, at);
         }
@@ -488,7 +491,7 @@
 
     fn kill(&mut self, n: usize, restart_at: Nanos, with_disk: bool) {
         self.update_right(n);
-        let token = self.nodes[n].agent.as_ref().and_then(|a| a.holder()).and_then(|h| h.life());
+        let token = self.nodes[n].agent.as_ref().and_then(|a| a.enrolment()).and_then(|h| h.life());
         if self.nodes[n].agent.take().is_none() {
             return;
         }
@@ -539,7 +542,8 @@
         self.found
     }
 
-    /// Checks that after the faults every proxy acts on the version in force, and every voter has what was acknowledged.
+    /// Checks that after the faults every proxy acts on the version in force, and every voter has what was
+    /// acknowledged.
     fn check_recovery(&mut self) {
         let voters: Vec<&Agent> = self.nodes.iter().filter_map(|n| n.agent.as_ref()).collect();
         let standing =
@@ -559,7 +563,9 @@
                     "p{n} acts on version {acting} (lease: {lease}) after recovery, but {standing} is in force"
                 ));
             }
-            if agent.holder().is_none_or(|h| h.permission(node.host.clock.local(self.events.now())).is_none())
+            if agent
+                .enrolment()
+                .is_none_or(|h| h.permission(node.host.clock.local(self.events.now())).is_none())
             {
                 failures.push(format!("p{n} has no valid process token after recovery"));
             }
@@ -568,7 +574,7 @@
                     failures.push(format!("p{n} no longer votes"));
                     continue;
                 };
-                if !voter.machine().lives().estates().is_empty() {
+                if !voter.machine().lives().unsettled().is_empty() {
                     failures.push(format!("p{n}: process tokens that ended were never settled"));
                 }
                 if voter.machine().standing() != standing || !voter.is_seated() {
--- a/crates/sandgap-lab/src/takeover/proxy.rs
+++ b/crates/sandgap-lab/src/takeover/proxy.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sandgap_agree::lives::drawn;
+use sandgap_agree::lives::next_random;
 use sandgap_fleet::Time;
 use sandgap_takeover::hands::Begun;
 use sandgap_takeover::owner::Why;
@@ -92,7 +92,7 @@
     }
 
     fn draw_below(&mut self, limit: u64) -> u64 {
-        self.random_state = drawn(self.random_state);
+        self.random_state = next_random(self.random_state);
         (self.random_state >> 33) % limit
     }
 
--- a/crates/sandgap-lab/src/takeover/simulation.rs
+++ b/crates/sandgap-lab/src/takeover/simulation.rs
@@ -177,10 +177,10 @@
         for (n, node) in self.nodes.iter().enumerate() {
             let local = node.host.clock.local(self.events.now());
             let Some(process) = &node.process else { continue };
-            if process.agent.holder().is_none_or(|h| h.permission(local).is_none()) {
+            if process.agent.enrolment().is_none_or(|h| h.permission(local).is_none()) {
                 self.checker.violations.push(format!("p{n} has no valid process token after recovery"));
             }
-            if process.agent.voter().is_some_and(|v| !v.machine().lives().estates().is_empty()) {
+            if process.agent.voter().is_some_and(|v| !v.machine().lives().unsettled().is_empty()) {
                 self.checker.violations.push(format!("p{n}: process tokens that ended were never settled"));
             }
         }
@@ -237,7 +237,7 @@
     // ---- processes ----
 
     fn start(&mut self, n: usize, with_disk: bool) {
-        let terms = self.setup.fleet.terms();
+        let timing = self.setup.fleet.timing();
         let voters: Vec<(String, SocketAddr)> = self.nodes[..self.setup.fleet.voters]
             .iter()
             .map(|v| (v.host.name.clone(), v.host.address))
@@ -248,12 +248,12 @@
         if node.process.is_some() {
             return;
         }
-        let (agent, votes) = node.host.start(now, with_disk, terms, voters, random);
+        let (agent, votes) = node.host.start(now, with_disk, timing, voters, random);
         if let Err(e) = votes {
             self.checker.violations.push(format!("p{n} can't start from its disk: {e}"));
         }
         let hands = Hands::new(Terms {
-            drift: terms.span.drift,
+            drift: timing.lease_bound.drift,
             keepers: self.setup.keepers,
             wait: duration(100 * MS),
             retention: duration(8 * SECOND),
@@ -275,7 +275,7 @@
     }
 
     fn may_act(process: &Process, local: Time) -> bool {
-        process.agent.holder().is_some_and(|h| h.permission(local).is_some())
+        process.agent.enrolment().is_some_and(|h| h.permission(local).is_some())
     }
 
     fn timer(&mut self, n: usize, incarnation: u32) {
--- a/crates/sandgap-rig/src/scale/hollow.rs
+++ b/crates/sandgap-rig/src/scale/hollow.rs
@@ -183,13 +183,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (sender, incoming) = mpsc::channel(INCOMING_CAPACITY);
         let links = Links::new(key, name.clone(), sender);
-        let terms = super::terms(Duration::from_millis(setup.bound_ms));
+        let timing = super::timing(Duration::from_millis(setup.bound_ms));
         let seed = fastrand::Rng::with_seed(unix_us().wrapping_add(number as u64)).u64(1..);
         let address = listener.local_addr()?;
         let me = Identity { name: name.clone(), address, incarnation: unix_us(), zone: None };
         tokio::task::spawn_local(links.clone().serve(listener));
         Ok(Rc::new(RefCell::new(Hollow {
-            agent: Agent::new(now(), &name, terms, setup.voters.clone(), seed),
+            agent: Agent::new(now(), &name, timing, setup.voters.clone(), seed),
             members: Members::new(me, ProbeTiming::default(), seed),
             name,
             links,
--- a/crates/sandgap-rig/src/scale/mod.rs
+++ b/crates/sandgap-rig/src/scale/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use sandgap_agree::{Span, Terms};
+use sandgap_agree::{LeaseBound, Timing};
 use sandgap_fleet::Drift;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
@@ -69,10 +69,10 @@
     pub defect: Option<Defect>,
 }
 
-/// The terms of leases, the same for hollow proxies and voters.
-fn terms(bound: Duration) -> Terms {
+/// The timing of leases, the same for hollow proxies and voters.
+fn timing(bound: Duration) -> Timing {
     const DRIFT_PPM: u32 = 1000; // the daemon's default
-    Terms::new(Span { bound, drift: Drift::ppm(DRIFT_PPM) }, false)
+    Timing::new(LeaseBound { bound, drift: Drift::ppm(DRIFT_PPM) }, false)
 }
 
 /// Runs and measures one fleet.
--- a/crates/sandgap-rollout/src/controller.rs
+++ b/crates/sandgap-rollout/src/controller.rs
@@ -74,7 +74,7 @@
         let serves_without_lease = self.rules.classes.iter().any(|c| c.on_lapse == OnLapse::Serve);
         let longest_ms = self.rules.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
         let longest = Duration::from_secs_f64(longest_ms.clamp(0.0, 1e7) / 1000.0);
-        (!serves_without_lease).then(|| self.view.terms.live() + longest + REQUEST_END_GRACE)
+        (!serves_without_lease).then(|| self.view.timing.lease_horizon() + longest + REQUEST_END_GRACE)
     }
 
     /// Backends in the rules; empty if a discovery service lists them.
--- a/crates/sandgap-rollout/src/ledger.rs
+++ b/crates/sandgap-rollout/src/ledger.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use sandgap_agree::limits::cut;
+use sandgap_agree::limits::truncate_text;
 use sandgap_agree::{Rulebook, Version};
 use serde::{Deserialize, Serialize};
 
@@ -467,10 +467,10 @@
             Entry::GoOn { release, by } => self.go_on(release, &by),
             Entry::TurnBack { release, by } => self.turn_back(release, &by),
             Entry::Advance { release, to, seen } => Ok(self.advance(release, to, seen)),
-            Entry::Halt { by, why } => Ok(self.halt(cut(&by), cut(&why))),
+            Entry::Halt { by, why } => Ok(self.halt(truncate_text(&by), truncate_text(&why))),
             Entry::Resume { by } => {
                 if self.halted.take().is_some() {
-                    self.record_line(format!("{} lets grants go on", cut(&by)), false);
+                    self.record_line(format!("{} lets grants go on", truncate_text(&by)), false);
                 }
                 Ok(Verdict::Done)
             }
@@ -506,8 +506,8 @@
             self.check_release_request(release, &asking.targets)?;
         }
         self.last_order += 1;
-        let (holder, why) = (cut(&asking.holder), cut(&asking.why));
-        let beyond = asking.beyond.as_deref().map(cut);
+        let (holder, why) = (truncate_text(&asking.holder), truncate_text(&asking.why));
+        let beyond = asking.beyond.as_deref().map(truncate_text);
         let asking = Asking { holder, why, beyond, ..asking };
         let permit = Permit { asking, order: self.last_order, overtaken: 0, grant: None };
         self.fits_bounds_alone(&permit)?;
@@ -535,7 +535,7 @@
                 None => Err(Refusal::NoPermit(id)),
             };
         };
-        let text = format!("{} gives up what {} asked for", cut(by), permit.asking.holder);
+        let text = format!("{} gives up what {} asked for", truncate_text(by), permit.asking.holder);
         match &mut permit.grant {
             Some((_, phases)) => phases.values_mut().for_each(|phase| *phase = Phase::Returning),
             None => {
@@ -578,7 +578,7 @@
             return Err(Refusal::Runs { target: target.clone(), release: release.plan.name.clone() });
         }
         if let Some(runs) = runs {
-            self.runs.insert(target.clone(), cut(&runs));
+            self.runs.insert(target.clone(), truncate_text(&runs));
         }
         if let Some(phase) = self.phase_mut(target, fence) {
             *phase = Phase::Returning;
@@ -586,8 +586,8 @@
         Ok(Verdict::Done)
     }
 
-    /// Halts all grants. Targets that are still draining return at once. A drained target belongs to its holder and may be
-    /// stopped, so it counts as out until it is observed back.
+    /// Halts all grants. Targets that are still draining return at once. A drained target belongs to its holder and may
+    /// be stopped, so it counts as out until it is observed back.
     fn halt(&mut self, by: String, why: String) -> Verdict {
         let grants = self.permits.values_mut().filter_map(|permit| permit.grant.as_mut());
         for phase in grants.flat_map(|(_, phases)| phases.values_mut()).filter(|p| **p == Phase::Granted) {
@@ -604,7 +604,10 @@
         }
         let texts: Vec<String> = bounds.iter().map(ToString::to_string).collect();
         let listed = if texts.is_empty() { "none".into() } else { texts.join("; ") };
-        self.record_line(format!("{} sets bounds ({}): {listed}", cut(by), cut(why)), false);
+        self.record_line(
+            format!("{} sets bounds ({}): {listed}", truncate_text(by), truncate_text(why)),
+            false,
+        );
         self.bounds = bounds;
         Ok(Verdict::Done)
     }
@@ -616,7 +619,10 @@
             Some(known) if !known.lost => Err(Refusal::Alive(proxy.to_owned())),
             Some(_) => {
                 self.remove_target(&target);
-                self.record_line(format!("{} says that proxy {proxy} has ended for good", cut(by)), false);
+                self.record_line(
+                    format!("{} says that proxy {proxy} has ended for good", truncate_text(by)),
+                    false,
+                );
                 Ok(Verdict::Done)
             }
         }
--- a/crates/sandgap-rollout/src/ledger/releases.rs
+++ b/crates/sandgap-rollout/src/ledger/releases.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use sandgap_agree::limits::cut;
+use sandgap_agree::limits::truncate_text;
 
 use super::{Entry, Fence, Ledger, Permit, Phase, Refusal, Verdict};
 use crate::gate::Ended;
@@ -111,7 +111,7 @@
             self.releases.remove(&ended.ok_or_else(full)?);
         }
         let [name, from, to, by, why] =
-            [&plan.name, &plan.from, &plan.to, &plan.by, &plan.why].map(|t| cut(t));
+            [&plan.name, &plan.from, &plan.to, &plan.by, &plan.why].map(|t| truncate_text(t));
         self.record_line(
             format!("{by} plans release '{name}' ({why}): {from} to {to} in {} waves", plan.waves.len()),
             false,
@@ -173,7 +173,7 @@
 
     fn record_stage(&mut self, id: u64, by: &str) {
         if let Some(release) = self.releases.get(&id) {
-            let text = format!("release '{}': {} ({})", release.plan.name, release.stage, cut(by));
+            let text = format!("release '{}': {} ({})", release.plan.name, release.stage, truncate_text(by));
             self.record_line(text, false);
         }
     }
@@ -185,7 +185,7 @@
     }
 
     pub(super) fn hold(&mut self, id: u64, by: &str, why: &str) -> Applied {
-        let (who, why) = (cut(by), cut(why));
+        let (who, why) = (truncate_text(by), truncate_text(why));
         self.set_stage(id, |s| match s {
             Stage::Wave(wave) | Stage::Soaking(wave) => {
                 Some(Stage::Halted { by: who.clone(), why: why.clone(), wave: *wave, back: false })
--- a/crates/sandgap-takeover/src/hands.rs
+++ b/crates/sandgap-takeover/src/hands.rs
@@ -1,13 +1,13 @@
 //! The takeover state of one proxy: its own requests, those that it keeps for others, and those that it inherits.
 //!
-//! The caller passes in the changes of the process's life (see [`sandgap_agree::tenure`]) and the letters of other
+//! The caller passes in the changes of the process's life (see [`sandgap_agree::enrolment`]) and the letters of other
 //! proxies. With each letter it states whether the process has the right to act; without it the letter is ignored.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use sandgap_agree::lives::{Claim, Epoch, Life};
-use sandgap_agree::tenure::{Roll, Turn};
+use sandgap_agree::enrolment::{EnrolmentEvent, MemberList};
+use sandgap_agree::lives::{Epoch, ProcessId, Succession};
 use sandgap_fleet::{Drift, Time};
 
 use crate::heir::Heir;
@@ -67,7 +67,7 @@
     pub plan: Plan,
 }
 
-/// Outcome counts of the requests inherited under one claim.
+/// Outcome counts of the requests inherited under one succession.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Outcomes {
     sent: u64,
@@ -92,7 +92,7 @@
 
 /// The state of one life of the process.
 struct LifeState {
-    life: Life,
+    life: ProcessId,
     owner: Owner,
     keeper: Keeper,
 }
@@ -101,8 +101,8 @@
 pub struct Hands {
     terms: Terms,
     current: Option<LifeState>,
-    roll: (u64, Roll),
-    departed: Roll,
+    member_list: (u64, MemberList),
+    recently_ended: MemberList,
     heirs: BTreeMap<Epoch, (Heir, Outcomes)>,
     inherited: BTreeMap<u64, Inherited>,
     outputs: VecDeque<Output>,
@@ -118,12 +118,12 @@
 impl Hands {
     /// Creates the state of a process that has no life yet.
     pub fn new(terms: Terms) -> Self {
-        let (current, roll, departed, heirs, inherited, outputs, loopback) = Default::default();
+        let (current, member_list, recently_ended, heirs, inherited, outputs, loopback) = Default::default();
         Hands {
             terms,
             current,
-            roll,
-            departed,
+            member_list,
+            recently_ended,
             heirs,
             inherited,
             outputs,
@@ -153,25 +153,25 @@
     }
 
     /// Handles a change of this process's life or of the enrolled processes.
-    pub fn turn(&mut self, now: Time, turn: Turn) {
+    pub fn turn(&mut self, now: Time, turn: EnrolmentEvent) {
         match turn {
-            Turn::Begun(life) => {
+            EnrolmentEvent::Enrolled(life) => {
                 let Terms { drift, keepers, wait, retention, .. } = self.terms;
                 let owner = Owner::new(life, owner::Terms { keepers, wait });
                 let keeper = Keeper::new(life, keeper::Terms { drift, keepers, retention });
                 self.current = Some(LifeState { life, owner, keeper });
                 self.enrolled(now);
             }
-            Turn::Ended(_) => {
+            EnrolmentEvent::Ended(_) => {
                 let Some(current) = self.current.take() else { return };
                 self.heirs.clear();
                 self.inherited.clear();
                 self.loopback.clear();
                 self.outputs.push_back(Output::Over(current.owner.all().collect()));
             }
-            Turn::Heir(claim) => self.heir(now, claim),
-            Turn::Roll(number, roll, departed) => {
-                (self.roll, self.departed) = ((number, roll), departed);
+            EnrolmentEvent::BecameSuccessor(succession) => self.heir(now, succession),
+            EnrolmentEvent::Members(number, member_list, recently_ended) => {
+                (self.member_list, self.recently_ended) = ((number, member_list), recently_ended);
                 self.enrolled(now);
             }
         }
@@ -179,28 +179,29 @@
     }
 
     fn enrolled(&mut self, now: Time) {
-        let (number, roll) = self.roll.clone();
-        let Some(current) = self.current.as_mut().filter(|current| roll.contains_key(&current.life)) else {
+        let (number, member_list) = self.member_list.clone();
+        let Some(current) = self.current.as_mut().filter(|current| member_list.contains_key(&current.life))
+        else {
             return;
         };
         let mut orders = Vec::new();
-        current.keeper.roll(now, roll.clone(), &self.departed);
-        current.owner.roll(now, roll.clone(), &mut orders);
+        current.keeper.set_member_list(now, member_list.clone(), &self.recently_ended);
+        current.owner.set_member_list(now, member_list.clone(), &mut orders);
         let mut messages = Vec::new();
         for (heir, _) in self.heirs.values_mut() {
-            heir.roll(now, number, &roll, &mut messages);
+            heir.set_member_list(now, number, &member_list, &mut messages);
         }
         self.carry_out(now, orders);
         self.send_all(messages);
     }
 
-    fn heir(&mut self, now: Time, claim: Claim) {
-        // Every possible keeper was enrolled when the claim was made, or is in a later list.
-        let least = self.roll.0;
-        let mut heir = Heir::new(claim.clone(), least, self.terms.drift, self.terms.at_once);
+    fn heir(&mut self, now: Time, succession: Succession) {
+        // Every possible keeper was enrolled when the succession was made, or is in a later list.
+        let least = self.member_list.0;
+        let mut heir = Heir::new(succession.clone(), least, self.terms.drift, self.terms.at_once);
         let mut messages = Vec::new();
-        heir.roll(now, self.roll.0, &self.roll.1.clone(), &mut messages);
-        self.heirs.insert(claim.epoch, (heir, Outcomes::default()));
+        heir.set_member_list(now, self.member_list.0, &self.member_list.1.clone(), &mut messages);
+        self.heirs.insert(succession.epoch, (heir, Outcomes::default()));
         self.send_all(messages);
     }
 
@@ -277,9 +278,9 @@
                 let (verdict, ask_also) = current.keeper.find(now, identity, content);
                 self.send(from, Message::FindReply(number, verdict, ask_also));
             }
-            Message::QueryOrphans(number, claim, after) => {
-                let (all, more) = current.keeper.orphans_page(now, &claim, after);
-                self.send(from, Message::Orphans(number, claim.epoch, all, more));
+            Message::QueryOrphans(number, succession, after) => {
+                let (all, more) = current.keeper.orphans_page(now, &succession, after);
+                self.send(from, Message::Orphans(number, succession.epoch, all, more));
             }
             Message::KeepReply(reply) => current.owner.handle_keep_reply(now, from, reply, &mut orders),
             Message::FindReply(seq, verdict, ask_also) => {
@@ -297,17 +298,17 @@
         self.resume_inherited(now);
     }
 
-    fn send(&mut self, to: Life, message: Message) {
+    fn send(&mut self, to: ProcessId, message: Message) {
         let Some(from) = self.current.as_ref().map(|current| current.life) else { return };
         let letter = Letter { from, to, message };
         if from == to {
             self.loopback.push_back(letter);
-        } else if let Some(who) = self.roll.1.get(&to) {
+        } else if let Some(who) = self.member_list.1.get(&to) {
             self.outputs.push_back(Output::Say(who.name.clone(), letter));
         }
     }
 
-    fn send_all(&mut self, all: Vec<(Life, Message)>) {
+    fn send_all(&mut self, all: Vec<(ProcessId, Message)>) {
         all.into_iter().for_each(|(to, message)| self.send(to, message));
     }
 
@@ -421,7 +422,7 @@
             self.outputs.push_back(Output::Note(format!(
                 "takeover from '{}' finished: {} requests inherited: {sent} sent, {repeated} repeated, {unknown} unknown, \
                  {refused} refused, {handled_elsewhere} already handled elsewhere",
-                heir.claim().name, heir.inherited()
+                heir.succession().name, heir.inherited()
             )));
             self.outputs.push_back(Output::Settled(epoch));
         }
--- a/crates/sandgap-takeover/src/heir.rs
+++ b/crates/sandgap-takeover/src/heir.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use sandgap_agree::lives::{Claim, Life};
-use sandgap_agree::tenure::Roll;
+use sandgap_agree::enrolment::MemberList;
+use sandgap_agree::lives::{ProcessId, Succession};
 use sandgap_fleet::{Drift, Time};
 
 use crate::identity::Identity;
@@ -36,9 +36,9 @@
 
 /// Takes over the in-flight requests of one process.
 pub struct Heir {
-    claim: Claim,
+    succession: Succession,
     drift: Drift,
-    queries: BTreeMap<Life, Query>,
+    queries: BTreeMap<ProcessId, Query>,
     /// Minimum version of the list of enrolled processes: from there on it includes every possible keeper.
     min_roll_version: u64,
     /// Number of the last query sent; 0 before the first.
@@ -54,10 +54,11 @@
 }
 
 impl Heir {
-    /// Creates an heir under a claim that arrived when the list of enrolled processes had changed `min_roll_version` times.
-    pub fn new(claim: Claim, min_roll_version: u64, drift: Drift, at_once: usize) -> Self {
+    /// Creates an heir under a succession that arrived when the list of enrolled processes had changed
+    /// `min_roll_version` times.
+    pub fn new(succession: Succession, min_roll_version: u64, drift: Drift, at_once: usize) -> Self {
         Heir {
-            claim,
+            succession,
             drift,
             queries: BTreeMap::new(),
             min_roll_version,
@@ -70,9 +71,9 @@
         }
     }
 
-    /// The claim that this heir acts under.
-    pub fn claim(&self) -> &Claim {
-        &self.claim
+    /// The succession that this heir acts under.
+    pub fn succession(&self) -> &Succession {
+        &self.succession
     }
 
     /// Requests inherited so far.
@@ -82,30 +83,35 @@
 
     /// Handles a list of enrolled processes: all processes of the first list are queried; later lists remove ended
     /// processes from the pending queries. Processes that join later keep none of these requests.
-    pub fn roll(&mut self, now: Time, number: u64, roll: &Roll, messages: &mut Vec<(Life, Message)>) {
+    pub fn set_member_list(
+        &mut self, now: Time, number: u64, member_list: &MemberList, messages: &mut Vec<(ProcessId, Message)>,
+    ) {
         if number < self.min_roll_version {
             return;
         }
         if self.last_query == 0 {
-            for life in roll.keys() {
+            for life in member_list.keys() {
                 self.ask(now, *life, None, messages);
             }
         }
-        self.queries.retain(|life, _| roll.contains_key(life));
+        self.queries.retain(|life, _| member_list.contains_key(life));
     }
 
-    fn ask(&mut self, now: Time, life: Life, after: Option<Identity>, messages: &mut Vec<(Life, Message)>) {
+    fn ask(
+        &mut self, now: Time, life: ProcessId, after: Option<Identity>,
+        messages: &mut Vec<(ProcessId, Message)>,
+    ) {
         self.last_query += 1;
         let number = self.last_query;
         self.queries.insert(life, Query { after, since: now, resend_at: now + RESEND_INTERVAL, number });
-        messages.push((life, Message::QueryOrphans(number, self.claim.clone(), after)));
+        messages.push((life, Message::QueryOrphans(number, self.succession.clone(), after)));
     }
 
-    /// Handles a page of requests. The first copy of each request suffices: every keeper's copy covers all that may have
-    /// happened.
+    /// Handles a page of requests. The first copy of each request suffices: every keeper's copy covers all that may
+    /// have happened.
     pub fn add_page(
-        &mut self, now: Time, from: Life, number: u64, all: Vec<Orphan>, more: bool,
-        messages: &mut Vec<(Life, Message)>,
+        &mut self, now: Time, from: ProcessId, number: u64, all: Vec<Orphan>, more: bool,
+        messages: &mut Vec<(ProcessId, Message)>,
     ) {
         let Some(query) = self.queries.get(&from).filter(|query| query.number == number) else { return };
         let since = query.since;
@@ -153,7 +159,7 @@
     }
 
     /// Processes that have not replied completely.
-    pub fn missing(&self) -> impl Iterator<Item = &Life> {
+    pub fn missing(&self) -> impl Iterator<Item = &ProcessId> {
         self.queries.keys()
     }
 
@@ -163,13 +169,14 @@
     }
 
     /// Resends queries without a reply.
-    pub fn fire(&mut self, now: Time, messages: &mut Vec<(Life, Message)>) {
+    pub fn fire(&mut self, now: Time, messages: &mut Vec<(ProcessId, Message)>) {
         for (life, query) in &mut self.queries {
             if query.resend_at <= now {
                 // With backoff: an unreachable process is queried until it is fenced itself.
                 let waited = now.saturating_sub(query.since);
                 query.resend_at = now + waited.clamp(RESEND_INTERVAL, Duration::from_millis(250));
-                messages.push((*life, Message::QueryOrphans(query.number, self.claim.clone(), query.after)));
+                messages
+                    .push((*life, Message::QueryOrphans(query.number, self.succession.clone(), query.after)));
             }
         }
     }
@@ -178,11 +185,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::tests::{ms, record, roll, sent};
+    use crate::record::tests::{member_list, ms, record, sent};
     use crate::record::{Effect, Record};
 
     fn heir() -> Heir {
-        Heir::new(Claim { life: 7, name: "p7".into(), epoch: 3 }, 5, Drift::ppm(0), 2)
+        Heir::new(Succession { life: 7, name: "p7".into(), epoch: 3 }, 5, Drift::ppm(0), 2)
     }
 
     fn orphan(n: u32, effect: Effect, out: bool, left: u64) -> Orphan {
@@ -202,16 +209,16 @@
     #[test]
     fn all_processes_of_a_new_enough_list_are_queried_until_they_reply() {
         let (mut heir, mut messages) = (heir(), Vec::new());
-        heir.roll(ms(0), 4, &roll(&[1, 2]), &mut messages);
+        heir.set_member_list(ms(0), 4, &member_list(&[1, 2]), &mut messages);
         assert!(messages.is_empty() && !heir.is_settled(), "a keeper may be missing from an old list");
-        heir.roll(ms(1), 5, &roll(&[1, 2, 3]), &mut messages);
+        heir.set_member_list(ms(1), 5, &member_list(&[1, 2, 3]), &mut messages);
         assert_eq!(messages.len(), 3);
         let first = number(&messages[0].1);
         heir.add_page(ms(2), 1, first, vec![], false, &mut messages);
         messages.clear();
         heir.fire(ms(30), &mut messages);
         assert_eq!(messages.iter().map(|(life, _)| *life).collect::<Vec<_>>(), [2, 3]);
-        heir.roll(ms(40), 6, &roll(&[1, 3, 9]), &mut messages);
+        heir.set_member_list(ms(40), 6, &member_list(&[1, 3, 9]), &mut messages);
         assert_eq!(heir.missing().collect::<Vec<_>>(), [&3], "2 has ended, and 9 joined later");
         let last = number(&messages.iter().find(|(life, _)| *life == 3).expect("asked").1);
         heir.add_page(ms(50), 3, last, vec![], false, &mut messages);
@@ -221,7 +228,7 @@
     #[test]
     fn each_request_is_resumed_once_by_deadline_within_the_limit() {
         let (mut heir, mut messages) = (heir(), Vec::new());
-        heir.roll(ms(0), 5, &roll(&[1, 2]), &mut messages);
+        heir.set_member_list(ms(0), 5, &member_list(&[1, 2]), &mut messages);
         let numbers: Vec<u64> = messages.iter().map(|(_, message)| number(message)).collect();
         let part = vec![orphan(1, Effect::Safe, false, 900), orphan(2, Effect::Safe, false, 300)];
         heir.add_page(ms(10), 1, numbers[0], part.clone(), true, &mut messages);
@@ -244,7 +251,7 @@
     #[test]
     fn window_is_counted_from_the_query() {
         let (mut heir, mut messages) = (heir(), Vec::new());
-        heir.roll(ms(0), 5, &roll(&[1]), &mut messages);
+        heir.set_member_list(ms(0), 5, &member_list(&[1]), &mut messages);
         let number = number(&messages[0].1);
         heir.add_page(ms(500), 1, number, vec![orphan(1, Effect::Keyed, true, 5000)], false, &mut messages);
         assert_eq!(heir.next(ms(510)).expect("one").plan, Plan::Again(ms(800)));
--- a/crates/sandgap-takeover/src/identity.rs
+++ b/crates/sandgap-takeover/src/identity.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use sandgap_agree::lives::{Enrolled, Life, weight};
+use sandgap_agree::lives::{Enrolled, ProcessId, rendezvous_weight};
 use serde::{Deserialize, Serialize};
 
 /// Identifies a request: a hash of tenant, class and key (the Idempotency-Key, else the request's id). Two requests
@@ -35,8 +35,9 @@
     }
 
     /// Sorts processes by their rendezvous-hashing rank for this identity, highest first.
-    pub(crate) fn rank<'a>(&self, lives: impl Iterator<Item = &'a Life>) -> Vec<Life> {
-        let mut all: Vec<(u64, Life)> = lives.map(|life| (weight(&self.0, *life), *life)).collect();
+    pub(crate) fn rank<'a>(&self, lives: impl Iterator<Item = &'a ProcessId>) -> Vec<ProcessId> {
+        let mut all: Vec<(u64, ProcessId)> =
+            lives.map(|life| (rendezvous_weight(&self.0, *life), *life)).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         all.into_iter().map(|(_, life)| life).collect()
     }
@@ -54,11 +55,13 @@
 /// processes other than the owner.
 ///
 /// After the first keeper, processes in a different zone come before those in the first keeper's zone.
-pub fn keepers(identity: Identity, roll: &BTreeMap<Life, Enrolled>, owner: Life, count: usize) -> Vec<Life> {
-    let ranked = identity.rank(roll.keys());
+pub fn keepers(
+    identity: Identity, member_list: &BTreeMap<ProcessId, Enrolled>, owner: ProcessId, count: usize,
+) -> Vec<ProcessId> {
+    let ranked = identity.rank(member_list.keys());
     let Some(first) = ranked.first().copied() else { return Vec::new() };
-    let zone = |life: Life| roll.get(&life).and_then(|e| e.zone.as_deref());
-    let (other_zones, same_zone): (Vec<Life>, Vec<Life>) = ranked
+    let zone = |life: ProcessId| member_list.get(&life).and_then(|e| e.zone.as_deref());
+    let (other_zones, same_zone): (Vec<ProcessId>, Vec<ProcessId>) = ranked
         .into_iter()
         .filter(|life| *life != first)
         .partition(|life| zone(first).is_some() && zone(*life) != zone(first));
@@ -76,9 +79,10 @@
 mod tests {
     use super::*;
 
-    fn roll(lives: &[(Life, &str)]) -> BTreeMap<Life, Enrolled> {
-        let entry = |(life, zone): &(Life, &str)| {
-            let enrolled = Enrolled { draw: *life, name: format!("p{life}"), zone: Some((*zone).to_owned()) };
+    fn member_list(lives: &[(ProcessId, &str)]) -> BTreeMap<ProcessId, Enrolled> {
+        let entry = |(life, zone): &(ProcessId, &str)| {
+            let enrolled =
+                Enrolled { process_token: *life, name: format!("p{life}"), zone: Some((*zone).to_owned()) };
             (*life, enrolled)
         };
         lives.iter().map(entry).collect()
@@ -93,25 +97,27 @@
 
     #[test]
     fn first_keeper_is_the_same_for_each_owner_and_enough_keepers_are_other_processes() {
-        let roll = roll(&[(1, "a"), (2, "a"), (3, "b"), (4, "b"), (5, "b")]);
+        let member_list = member_list(&[(1, "a"), (2, "a"), (3, "b"), (4, "b"), (5, "b")]);
         for n in 0..200 {
             let identity = Identity::of(None, "book", &n.to_string());
-            let sets: Vec<Vec<Life>> = (1..6).map(|owner| keepers(identity, &roll, owner, 2)).collect();
+            let sets: Vec<Vec<ProcessId>> =
+                (1..6).map(|owner| keepers(identity, &member_list, owner, 2)).collect();
             for (set, owner) in sets.iter().zip(1..) {
                 assert_eq!(set[0], sets[0][0]);
                 assert_eq!(set.iter().filter(|life| **life != owner).count(), 2);
             }
-            let zone = |life: &Life| roll[life].zone.clone();
+            let zone = |life: &ProcessId| member_list[life].zone.clone();
             assert_ne!(zone(&sets[0][0]), zone(&sets[0][1]), "the second keeper is in another zone");
         }
     }
 
     #[test]
     fn leaving_process_moves_only_its_own_identities() {
-        let before = roll(&[(1, "a"), (2, "a"), (3, "a"), (4, "a")]);
+        let before = member_list(&[(1, "a"), (2, "a"), (3, "a"), (4, "a")]);
         let mut after = before.clone();
         after.remove(&3);
-        let first = |n: u32, roll| keepers(Identity::of(None, "book", &n.to_string()), roll, 0, 1)[0];
+        let first =
+            |n: u32, member_list| keepers(Identity::of(None, "book", &n.to_string()), member_list, 0, 1)[0];
         let moved = (0..1000).filter(|n| first(*n, &before) != first(*n, &after)).count();
         assert!((180..320).contains(&moved), "{moved}");
         assert!((0..1000).all(|n| first(n, &before) == first(n, &after) || first(n, &before) == 3));
@@ -119,7 +125,7 @@
 
     #[test]
     fn single_process_is_its_own_only_keeper() {
-        let alone = roll(&[(1, "a")]);
+        let alone = member_list(&[(1, "a")]);
         assert_eq!(keepers(Identity::default(), &alone, 1, 2), [1]);
         assert!(keepers(Identity::default(), &BTreeMap::new(), 1, 2).is_empty());
     }
--- a/crates/sandgap-takeover/src/keeper.rs
+++ b/crates/sandgap-takeover/src/keeper.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
-use sandgap_agree::lives::{Claim, Enrolled, Epoch, Life};
-use sandgap_agree::tenure::Roll;
+use sandgap_agree::enrolment::MemberList;
+use sandgap_agree::lives::{Enrolled, Epoch, ProcessId, Succession};
 use sandgap_fleet::{Drift, Time};
 
 use crate::identity::{Content, Identity, keepers};
@@ -63,7 +63,7 @@
 
 /// Records that one process keeps for others; see the module.
 pub struct Keeper {
-    me: Life,
+    me: ProcessId,
     terms: Terms,
     kept: FxHashMap<Identity, Kept>,
     /// Ended and unfinished requests by expiry.
@@ -71,23 +71,23 @@
     open: BTreeSet<(Time, Identity)>,
     bytes: usize,
     /// Entries by owner.
-    owners: BTreeMap<Life, usize>,
+    owners: BTreeMap<ProcessId, usize>,
     /// Entries and bytes by tenant.
     tenants: BTreeMap<Option<String>, (usize, usize)>,
     /// The enrolled processes, and when each was first seen; `None` for those enrolled before this process.
-    roll: Roll,
-    since: BTreeMap<Life, Option<Time>>,
+    member_list: MemberList,
+    since: BTreeMap<ProcessId, Option<Time>>,
     /// Processes that ended, and when this keeper learned of it.
-    lost: BTreeMap<Life, (Enrolled, Time)>,
+    lost: BTreeMap<ProcessId, (Enrolled, Time)>,
     /// Processes that the last list named as ended.
-    departed: BTreeSet<Life>,
+    recently_ended: BTreeSet<ProcessId>,
     /// Processes that an heir has taken over from: their steps are refused.
-    superseded: BTreeMap<Life, Epoch>,
+    superseded: BTreeMap<ProcessId, Epoch>,
 }
 
 impl Keeper {
     /// Creates an empty keeper.
-    pub fn new(me: Life, terms: Terms) -> Self {
+    pub fn new(me: ProcessId, terms: Terms) -> Self {
         Keeper {
             me,
             terms,
@@ -97,10 +97,10 @@
             bytes: 0,
             owners: BTreeMap::new(),
             tenants: BTreeMap::new(),
-            roll: Roll::default(),
+            member_list: MemberList::default(),
             since: BTreeMap::new(),
             lost: BTreeMap::new(),
-            departed: BTreeSet::new(),
+            recently_ended: BTreeSet::new(),
             superseded: BTreeMap::new(),
         }
     }
@@ -110,22 +110,23 @@
         (self.kept.len(), self.open.len(), self.bytes)
     }
 
-    /// Handles a new list of enrolled processes; `departed` are recently ended ones, including those never seen here.
-    pub fn roll(&mut self, now: Time, roll: Roll, departed: &Roll) {
-        let first = self.roll.is_empty();
-        for life in roll.keys() {
+    /// Handles a new list of enrolled processes; `recently_ended` are recently ended ones, including those never seen
+    /// here.
+    pub fn set_member_list(&mut self, now: Time, member_list: MemberList, recently_ended: &MemberList) {
+        let first = self.member_list.is_empty();
+        for life in member_list.keys() {
             // This process asks those enrolled before it; they know whether they are older than others.
             let since = (!first || *life >= self.me).then_some(now);
             self.since.entry(*life).or_insert(since);
         }
-        let old = std::mem::replace(&mut self.roll, roll);
-        let roll = &self.roll;
-        let unmet = departed.iter().filter(|(life, _)| !self.departed.contains(life));
-        for (life, who) in old.iter().filter(|(life, _)| !roll.contains_key(life)).chain(unmet) {
+        let old = std::mem::replace(&mut self.member_list, member_list);
+        let member_list = &self.member_list;
+        let unmet = recently_ended.iter().filter(|(life, _)| !self.recently_ended.contains(life));
+        for (life, who) in old.iter().filter(|(life, _)| !member_list.contains_key(life)).chain(unmet) {
             self.lost.entry(*life).or_insert_with(|| (who.clone(), now));
         }
-        self.departed = departed.keys().copied().collect();
-        self.since.retain(|life, _| roll.contains_key(life));
+        self.recently_ended = recently_ended.keys().copied().collect();
+        self.since.retain(|life, _| member_list.contains_key(life));
         while self.lost.len() > MAX_LOST_LIVES {
             self.lost.pop_first();
         }
@@ -133,11 +134,11 @@
 
     /// Whether the list of enrolled processes is known; without it the keeper can't tell who else may know an identity.
     pub fn is_ready(&self) -> bool {
-        !self.roll.is_empty()
+        !self.member_list.is_empty()
     }
 
     /// Stores a step. Returns the verdict and the processes that have to be asked before the step counts.
-    pub fn keep(&mut self, now: Time, keep: Keep) -> (Verdict, Vec<Life>) {
+    pub fn keep(&mut self, now: Time, keep: Keep) -> (Verdict, Vec<ProcessId>) {
         if let Some(epoch) = self.superseded.get(&keep.actor.life) {
             return (Verdict::Superseded(*epoch), Vec::new());
         }
@@ -180,7 +181,7 @@
         }
     }
 
-    fn keep_new(&mut self, now: Time, keep: Keep) -> (Verdict, Vec<Life>) {
+    fn keep_new(&mut self, now: Time, keep: Keep) -> (Verdict, Vec<ProcessId>) {
         let Some(request) = keep.request.clone() else { return (Verdict::MissingRequest, Vec::new()) };
         if request.len() > MAX_REQUEST_BYTES || !self.has_room(&keep, request.len()) {
             return (Verdict::Full, Vec::new());
@@ -283,10 +284,11 @@
     }
 
     /// What is known of an identity; if nothing, the processes that have to be asked instead.
-    pub fn find(&self, now: Time, identity: Identity, content: Content) -> (Option<Verdict>, Vec<Life>) {
+    pub fn find(&self, now: Time, identity: Identity, content: Content) -> (Option<Verdict>, Vec<ProcessId>) {
         match self.kept.get(&identity) {
             Some(kept) if kept.known.record.content != content => (Some(Verdict::Differs), Vec::new()),
-            // A refused request may have ended before other processes were asked: it tells nothing about their requests.
+            // A refused request may have ended before other processes were asked: it tells nothing about their
+            // requests.
             Some(kept) if kept.known.record.end != Some(End::Refused) => {
                 let end = kept.known.record.end.clone();
                 (Some(end.map_or(Verdict::Held(kept.actor), Verdict::Ended)), Vec::new())
@@ -303,14 +305,14 @@
     /// The process that ranks first is asked about an identity. So a process that joined or left recently and ranks
     /// above all long-enrolled ones may have been asked. If it is live it has to be asked now; if it ended, a process
     /// that kept records together with it has to be.
-    fn who_knows(&self, now: Time, identity: Identity) -> Result<Vec<Life>, Duration> {
-        let long_enrolled = |life: &Life| match self.since.get(life) {
+    fn who_knows(&self, now: Time, identity: Identity) -> Result<Vec<ProcessId>, Duration> {
+        let long_enrolled = |life: &ProcessId| match self.since.get(life) {
             Some(Some(since)) => now >= *since + self.terms.retention,
             Some(None) => true,
             None => false,
         };
         let (mut ask_also, mut lost_count) = (Vec::new(), 0);
-        for life in identity.rank(self.roll.keys().chain(self.lost.keys())) {
+        for life in identity.rank(self.member_list.keys().chain(self.lost.keys())) {
             if let Some((who, at)) = self.lost.get(&life) {
                 let left = (*at + self.terms.retention).saturating_sub(now);
                 if left.is_zero() {
@@ -321,9 +323,9 @@
                     // As many processes as keep one request have ended: together they may have held all copies.
                     return Err(left);
                 }
-                let mut former_roll: BTreeMap<Life, Enrolled> = (*self.roll).clone();
-                former_roll.insert(life, who.clone());
-                let co_keepers = keepers(identity, &former_roll, 0, self.terms.keepers);
+                let mut former_members: BTreeMap<ProcessId, Enrolled> = (*self.member_list).clone();
+                former_members.insert(life, who.clone());
+                let co_keepers = keepers(identity, &former_members, 0, self.terms.keepers);
                 match co_keepers.into_iter().find(|other| *other != life && long_enrolled(other)) {
                     Some(other) if other == self.me => {}
                     Some(other) => ask_also.push(other),
@@ -346,13 +348,15 @@
 
     /// Returns one page of the unfinished requests of an ended process to its heir; from then on, steps of that process
     /// are refused. Each page starts after the last identity of the previous one.
-    pub fn orphans_page(&mut self, now: Time, claim: &Claim, after: Option<Identity>) -> (Vec<Orphan>, bool) {
-        let superseded = self.superseded.entry(claim.life).or_insert(claim.epoch);
-        if claim.epoch < *superseded {
+    pub fn orphans_page(
+        &mut self, now: Time, succession: &Succession, after: Option<Identity>,
+    ) -> (Vec<Orphan>, bool) {
+        let superseded = self.superseded.entry(succession.life).or_insert(succession.epoch);
+        if succession.epoch < *superseded {
             return (Vec::new(), false); // a later heir has taken over from this heir
         }
-        *superseded = claim.epoch;
-        let left = |(_, kept): &(&Identity, &Kept)| kept.actor.life == claim.life && kept.is_open();
+        *superseded = succession.epoch;
+        let left = |(_, kept): &(&Identity, &Kept)| kept.actor.life == succession.life && kept.is_open();
         let mut all: Vec<(&Identity, &Kept)> = self.kept.iter().filter(left).collect();
         all.sort_unstable_by_key(|(identity, _)| **identity);
         let (mut page, mut bytes) = (Vec::new(), 0);
@@ -413,10 +417,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::tests::{ms, record, roll, sent};
+    use crate::record::tests::{member_list, ms, record, sent};
     use crate::record::{Answer, Effect, Record};
 
-    const ME: Life = 2;
+    const ME: ProcessId = 2;
 
     fn terms() -> Terms {
         Terms { drift: Drift::ppm(0), keepers: 1, retention: ms(5000) }
@@ -424,20 +428,20 @@
 
     fn keeper() -> Keeper {
         let mut keeper = Keeper::new(ME, terms());
-        keeper.roll(ms(0), roll(&[1, 2]), &Roll::default());
+        keeper.set_member_list(ms(0), member_list(&[1, 2]), &MemberList::default());
         // Enrolled long ago: no other process knows more than this one.
         keeper.since.insert(ME, None);
         keeper
     }
 
-    fn keep(life: Life, epoch: Epoch, record: &Record) -> Keep {
+    fn keep(life: ProcessId, epoch: Epoch, record: &Record) -> Keep {
         let request = Some(Bytes::from(&b"POST /book/x"[..]));
         let fresh = epoch == 0 && record.step == 0;
         Keep { seq: 1, actor: Actor { epoch, life }, record: record.clone(), fresh, left: ms(1000), request }
     }
 
-    fn claim(life: Life, epoch: Epoch) -> Claim {
-        Claim { life, name: String::new(), epoch }
+    fn succession(life: ProcessId, epoch: Epoch) -> Succession {
+        Succession { life, name: String::new(), epoch }
     }
 
     fn answered() -> End {
@@ -463,7 +467,7 @@
         let mut k = keeper();
         let taken = record(Effect::Unsafe);
         k.keep(ms(1), keep(7, 0, &taken));
-        let (left, more) = k.orphans_page(ms(10), &claim(7, 4), None);
+        let (left, more) = k.orphans_page(ms(10), &succession(7, 4), None);
         assert!(left.len() == 1 && !more && left[0].record == taken && left[0].left == ms(991));
         let out = taken.sending(sent(0)).expect("room");
         assert_eq!(k.keep(ms(11), keep(7, 0, &out)).0, Verdict::Superseded(4));
@@ -471,9 +475,9 @@
         assert_eq!(k.keep(ms(12), keep(9, 4, &out)).0, Verdict::Kept);
         assert_eq!(k.keep(ms(13), keep(8, 0, &taken)).0, Verdict::Held(Actor { epoch: 4, life: 9 }));
         // The heir ends too: the next heir finds its progress; a message of the first heir changes nothing.
-        assert!(k.orphans_page(ms(14), &claim(7, 3), None).0.is_empty());
-        assert!(k.orphans_page(ms(14), &claim(7, 5), None).0.is_empty());
-        assert_eq!(k.orphans_page(ms(15), &claim(9, 6), None).0[0].record, out);
+        assert!(k.orphans_page(ms(14), &succession(7, 3), None).0.is_empty());
+        assert!(k.orphans_page(ms(14), &succession(7, 5), None).0.is_empty());
+        assert_eq!(k.orphans_page(ms(15), &succession(9, 6), None).0[0].record, out);
     }
 
     #[test]
@@ -509,12 +513,12 @@
             })
             .collect();
         let mut k = Keeper::new(ME, terms());
-        k.roll(ms(0), roll(&[1, 2, 3]), &Roll::default());
+        k.set_member_list(ms(0), member_list(&[1, 2, 3]), &MemberList::default());
         k.since.insert(ME, None);
-        let was_mine = |r: &Record| keepers(r.identity, &roll(&[1, 2, 3]), 0, 1)[0];
-        k.roll(ms(100), roll(&[2, 3]), &Roll::default());
+        let was_mine = |r: &Record| keepers(r.identity, &member_list(&[1, 2, 3]), 0, 1)[0];
+        k.set_member_list(ms(100), member_list(&[2, 3]), &MemberList::default());
         let mut seen = [0; 2];
-        for r in identities.iter().filter(|r| keepers(r.identity, &roll(&[2, 3]), 0, 1)[0] == ME) {
+        for r in identities.iter().filter(|r| keepers(r.identity, &member_list(&[2, 3]), 0, 1)[0] == ME) {
             let (found, ask_also) = k.find(ms(200), r.identity, r.content);
             match was_mine(r) {
                 ME => assert_eq!((found, ask_also), (None, vec![])),
@@ -532,17 +536,17 @@
         }
         // A new process knows nothing, and names older ones.
         let mut young = Keeper::new(9, terms());
-        young.roll(ms(0), roll(&[1, 2, 9]), &Roll::default());
+        young.set_member_list(ms(0), member_list(&[1, 2, 9]), &MemberList::default());
         for r in &identities {
-            let older = keepers(r.identity, &roll(&[1, 2]), 0, 1)[0];
+            let older = keepers(r.identity, &member_list(&[1, 2]), 0, 1)[0];
             assert_eq!(young.find(ms(1), r.identity, r.content), (None, vec![older]));
             seen[1] += 1;
         }
         assert!(seen.iter().all(|n| *n > 20), "{seen:?}");
         // If all earlier processes have ended, one of them may have known the identity.
         let mut heir = Keeper::new(9, terms());
-        heir.roll(ms(0), roll(&[8, 9]), &roll(&[1, 2]));
-        let mine = identities.iter().filter(|r| keepers(r.identity, &roll(&[1, 2, 8]), 0, 1)[0] != 8);
+        heir.set_member_list(ms(0), member_list(&[8, 9]), &member_list(&[1, 2]));
+        let mine = identities.iter().filter(|r| keepers(r.identity, &member_list(&[1, 2, 8]), 0, 1)[0] != 8);
         for r in mine {
             assert_eq!(
                 heir.find(ms(1), r.identity, r.content),
@@ -554,14 +558,15 @@
     #[test]
     fn request_is_reported_unknown_if_both_keepers_are_lost() {
         let mut k = Keeper::new(ME, Terms { keepers: 2, ..terms() });
-        k.roll(ms(0), roll(&[1, 2, 3, 4]), &Roll::default());
+        k.set_member_list(ms(0), member_list(&[1, 2, 3, 4]), &MemberList::default());
         k.since = [1, 2, 3, 4].map(|life| (life, None)).into(); // all were enrolled long ago
-        k.roll(ms(100), roll(&[2, 3]), &roll(&[1, 4]));
+        k.set_member_list(ms(100), member_list(&[2, 3]), &member_list(&[1, 4]));
         let mut unknown_for = 0;
         for n in 0..200 {
             let identity = Identity::of(None, "book", &n.to_string());
             let (found, _) = k.find(ms(200), identity, Content::default());
-            let both = keepers(identity, &roll(&[1, 2, 3, 4]), 0, 2).iter().all(|life| [1, 4].contains(life));
+            let both =
+                keepers(identity, &member_list(&[1, 2, 3, 4]), 0, 2).iter().all(|life| [1, 4].contains(life));
             assert_eq!(found.is_some(), both, "{found:?}");
             unknown_for += usize::from(both);
         }
@@ -613,7 +618,7 @@
         }
         let (mut all, mut after, mut pages) = (BTreeSet::new(), None, 0);
         loop {
-            let (page, more) = k.orphans_page(ms(1), &claim(7, 1), after);
+            let (page, more) = k.orphans_page(ms(1), &succession(7, 1), after);
             pages += 1;
             after = page.last().map(|r| r.record.identity);
             assert!(page.iter().all(|r| all.insert(r.record.identity)));
--- a/crates/sandgap-takeover/src/owner.rs
+++ b/crates/sandgap-takeover/src/owner.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sandgap_agree::lives::Life;
-use sandgap_agree::tenure::Roll;
+use sandgap_agree::enrolment::MemberList;
+use sandgap_agree::lives::ProcessId;
 use sandgap_fleet::Time;
 
 use crate::identity::keepers;
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
     /// Send this message to a process, possibly to this process's own keeper.
-    Send(Life, Message),
+    Send(ProcessId, Message),
     /// All keepers have stored the request's steps up to this one: the actions that they precede may be taken.
     Clear(u64, u32),
     /// The request can't continue.
@@ -58,11 +58,11 @@
     deadline: Time,
     request: Bytes,
     /// The latest step confirmed by each keeper.
-    confirmed: BTreeMap<Life, u32>,
+    confirmed: BTreeMap<ProcessId, u32>,
     /// Processes that have to be asked before the first step counts, and those already asked. Each is asked once, as
     /// two of them may name each other.
-    pending_queries: Vec<Life>,
-    asked: Vec<Life>,
+    pending_queries: Vec<ProcessId>,
+    asked: Vec<ProcessId>,
     /// When the current step was first sent to keepers, and when it is resent.
     since: Time,
     resend_at: Time,
@@ -83,7 +83,7 @@
     }
 
     fn is_confirmed(&self) -> bool {
-        let all = |life: &Life| self.confirmed.get(life).is_some_and(|step| *step >= self.record.step);
+        let all = |life: &ProcessId| self.confirmed.get(life).is_some_and(|step| *step >= self.record.step);
         self.pending_queries.is_empty()
             && !self.record.keepers.is_empty()
             && self.record.keepers.iter().all(all)
@@ -91,9 +91,12 @@
 }
 
 /// Chooses the keepers of a record: its current keepers that are still enrolled, then others until there are enough.
-fn choose_keepers(record: &Record, current: &[Life], roll: &Roll, owner: Life, count: usize) -> Vec<Life> {
-    let mut all: Vec<Life> = current.iter().copied().filter(|keeper| roll.contains_key(keeper)).collect();
-    for keeper in keepers(record.identity, roll, owner, count) {
+fn choose_keepers(
+    record: &Record, current: &[ProcessId], member_list: &MemberList, owner: ProcessId, count: usize,
+) -> Vec<ProcessId> {
+    let mut all: Vec<ProcessId> =
+        current.iter().copied().filter(|keeper| member_list.contains_key(keeper)).collect();
+    for keeper in keepers(record.identity, member_list, owner, count) {
         if !all.contains(&keeper) && all.iter().filter(|k| **k != owner).count() < count {
             all.push(keeper);
         }
@@ -103,17 +106,17 @@
 
 /// Replicates the requests of one process; see the module.
 pub struct Owner {
-    life: Life,
+    life: ProcessId,
     terms: Terms,
-    roll: Roll,
+    member_list: MemberList,
     requests: BTreeMap<u64, InFlight>,
     next: u64,
 }
 
 impl Owner {
     /// Creates an owner without requests.
-    pub fn new(life: Life, terms: Terms) -> Self {
-        Owner { life, terms, roll: Roll::default(), requests: BTreeMap::new(), next: 1 }
+    pub fn new(life: ProcessId, terms: Terms) -> Self {
+        Owner { life, terms, member_list: MemberList::default(), requests: BTreeMap::new(), next: 1 }
     }
 
     /// Number of requests in flight.
@@ -127,7 +130,7 @@
     }
 
     /// Accepts a request with its `record` at step 0; its keepers are chosen here. An heir accepts an inherited request
-    /// under its claim's epoch, with the steps that it knows of.
+    /// under its succession's epoch, with the steps that it knows of.
     pub fn take(
         &mut self, now: Time, epoch: u64, mut record: Record, left: Duration, request: Bytes,
         orders: &mut Vec<Order>,
@@ -135,8 +138,8 @@
         let seq = self.next;
         self.next += 1;
         // An inherited request keeps its keepers: a retry of its client looks for it there.
-        let current: &[Life] = if epoch > 0 { &record.keepers } else { &[] };
-        record.keepers = choose_keepers(&record, current, &self.roll, self.life, self.terms.keepers);
+        let current: &[ProcessId] = if epoch > 0 { &record.keepers } else { &[] };
+        record.keepers = choose_keepers(&record, current, &self.member_list, self.life, self.terms.keepers);
         let own = InFlight {
             actor: Actor { epoch, life: self.life },
             record,
@@ -236,7 +239,9 @@
     }
 
     /// Handles a keeper's reply to a step.
-    pub fn handle_keep_reply(&mut self, now: Time, from: Life, reply: KeepReply, orders: &mut Vec<Order>) {
+    pub fn handle_keep_reply(
+        &mut self, now: Time, from: ProcessId, reply: KeepReply, orders: &mut Vec<Order>,
+    ) {
         let KeepReply { seq, step, verdict, ask_also } = reply;
         let Some(own) = self.requests.get_mut(&seq) else { return };
         if !own.record.keepers.contains(&from) {
@@ -289,7 +294,7 @@
 
     /// Handles another process's reply on whether it knows the identity.
     pub fn handle_find_reply(
-        &mut self, now: Time, from: Life, seq: u64, verdict: Option<Verdict>, ask_also: &[Life],
+        &mut self, now: Time, from: ProcessId, seq: u64, verdict: Option<Verdict>, ask_also: &[ProcessId],
         orders: &mut Vec<Order>,
     ) {
         let Some(own) = self.requests.get_mut(&seq).filter(|own| own.pending_queries.contains(&from)) else {
@@ -318,7 +323,7 @@
     }
 
     /// Asks the processes that have not been asked yet; returns whether there were any.
-    fn ask(&mut self, now: Time, seq: u64, lives: &[Life], orders: &mut Vec<Order>) -> bool {
+    fn ask(&mut self, now: Time, seq: u64, lives: &[ProcessId], orders: &mut Vec<Order>) -> bool {
         let Some(own) = self.requests.get_mut(&seq) else { return false };
         let before = own.pending_queries.len();
         for life in lives {
@@ -363,12 +368,12 @@
 
     /// Handles a new list of enrolled processes: keepers that ended are replaced. A live keeper is never replaced, as
     /// its copy would become stale and cover less than may have happened.
-    pub fn roll(&mut self, now: Time, roll: Roll, orders: &mut Vec<Order>) {
-        self.roll = roll;
-        let (roll, life, count) = (self.roll.clone(), self.life, self.terms.keepers);
+    pub fn set_member_list(&mut self, now: Time, member_list: MemberList, orders: &mut Vec<Order>) {
+        self.member_list = member_list;
+        let (member_list, life, count) = (self.member_list.clone(), self.life, self.terms.keepers);
         let mut changed = Vec::new();
         for (seq, own) in &mut self.requests {
-            let lives = |life: &Life| roll.contains_key(life);
+            let lives = |life: &ProcessId| member_list.contains_key(life);
             // If a process ended before it replied, the query has to be repeated elsewhere.
             let unanswered = !own.pending_queries.iter().all(lives);
             if own.record.keepers.iter().all(lives) && !unanswered {
@@ -379,7 +384,7 @@
                 own.pending_queries.clear();
                 own.asked.clear();
             }
-            let keepers = choose_keepers(&own.record, &own.record.keepers, &roll, life, count);
+            let keepers = choose_keepers(&own.record, &own.record.keepers, &member_list, life, count);
             own.record = Record { keepers, step: own.record.step + 1, ..own.record.clone() };
             (own.since, own.stopped) = (now, false);
             changed.push(*seq);
@@ -417,10 +422,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::tests::{ms, record, roll, sent};
+    use crate::record::tests::{member_list, ms, record, sent};
     use crate::record::{Answer, Effect, State};
 
-    const ME: Life = 1;
+    const ME: ProcessId = 1;
 
     struct Case {
         owner: Owner,
@@ -429,17 +434,17 @@
     }
 
     impl Case {
-        fn new(lives: &[Life], keepers: usize) -> Self {
+        fn new(lives: &[ProcessId], keepers: usize) -> Self {
             let mut owner = Owner::new(ME, Terms { keepers, wait: ms(50) });
             let mut orders = Vec::new();
-            owner.roll(ms(0), roll(lives), &mut orders);
+            owner.set_member_list(ms(0), member_list(lives), &mut orders);
             let request = Bytes::from(&b"request"[..]);
             let seq = owner.take(ms(0), 0, record(Effect::Keyed), ms(1000), request, &mut orders);
             Case { owner, orders, seq }
         }
 
         /// A request that its keepers have stored, with a first keeper that names another process to ask.
-        fn with_older() -> (Self, Life) {
+        fn with_older() -> (Self, ProcessId) {
             let mut case = Case::new(&[1, 2, 3, 4], 1);
             let keepers = case.keepers();
             let older = (1..9).find(|life| !keepers.contains(life) && *life != ME).expect("another process");
@@ -451,11 +456,11 @@
             (case, older)
         }
 
-        fn keepers(&self) -> Vec<Life> {
+        fn keepers(&self) -> Vec<ProcessId> {
             self.owner.record(self.seq).expect("held").keepers.clone()
         }
 
-        fn reply(&mut self, now: u64, from: Life, verdict: Verdict) {
+        fn reply(&mut self, now: u64, from: ProcessId, verdict: Verdict) {
             let step = self.owner.record(self.seq).expect("held").step;
             let reply = KeepReply { seq: self.seq, step, verdict, ask_also: vec![] };
             self.owner.handle_keep_reply(ms(now), from, reply, &mut self.orders);
@@ -545,12 +550,12 @@
     fn ended_keeper_is_replaced_and_joining_process_replaces_none() {
         let mut case = Case::new(&[1, 2, 3], 1);
         let before = case.keepers();
-        case.owner.roll(ms(5), roll(&[1, 2, 3, 4, 5, 6, 7, 8]), &mut case.orders);
+        case.owner.set_member_list(ms(5), member_list(&[1, 2, 3, 4, 5, 6, 7, 8]), &mut case.orders);
         assert_eq!(case.keepers(), before);
         let lost = *before.iter().find(|life| **life != ME).expect("another");
-        let rest: Vec<Life> = [1, 2, 3, 4, 5].into_iter().filter(|life| *life != lost).collect();
+        let rest: Vec<ProcessId> = [1, 2, 3, 4, 5].into_iter().filter(|life| *life != lost).collect();
         case.orders();
-        case.owner.roll(ms(6), roll(&rest), &mut case.orders);
+        case.owner.set_member_list(ms(6), member_list(&rest), &mut case.orders);
         let after = case.keepers();
         assert!(!after.contains(&lost) && after.iter().any(|life| *life != ME), "{after:?}");
         let orders = case.orders();
--- a/crates/sandgap-takeover/src/record.rs
+++ b/crates/sandgap-takeover/src/record.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sandgap_agree::Version;
-use sandgap_agree::lives::Life;
+use sandgap_agree::lives::ProcessId;
 use sandgap_fleet::{Drift, Time};
 use serde::{Deserialize, Serialize};
 
@@ -90,7 +90,7 @@
     /// Version of the rules in force when it was accepted.
     pub version: Version,
     /// All processes that keep the record. Changed only after one of them has ended.
-    pub keepers: Vec<Life>,
+    pub keepers: Vec<ProcessId>,
     /// The owner may continue without its keepers. A record without attempts then does not prove that none was sent.
     pub alone: bool,
     /// Increases with each step: of two records of one owner, the one with the higher step is later.
@@ -159,7 +159,8 @@
         known
     }
 
-    /// Replaces the record by a later one of the same request and returns true. A delayed earlier record changes nothing.
+    /// Replaces the record by a later one of the same request and returns true. A delayed earlier record changes
+    /// nothing.
     pub fn advance(&mut self, now: Time, record: Record, drift: Drift) -> bool {
         let later = record.step > self.record.step;
         if later {
@@ -175,7 +176,8 @@
             Some(first) if self.until.is_none() => {
                 self.until = first.window.map(|window| now + drift.at_most(window));
             }
-            // If the first attempt did not run and a later one did, the window starts later; the earlier bound stays safe.
+            // If the first attempt did not run and a later one did, the window starts later; the earlier bound stays
+            // safe.
             Some(_) => {}
         }
     }
@@ -190,7 +192,8 @@
             (State::MayHaveRun, Effect::Safe) if left.is_zero() => Plan::End(End::Refused),
             (State::MayHaveRun, Effect::Safe) => Plan::Send,
             (State::MayHaveRun, Effect::Unsafe) => Plan::End(End::Unknown),
-            // An owner that continues alone does not wait for keepers: the window may have begun before this record came.
+            // An owner that continues alone does not wait for keepers: the window may have begun before this record
+            // came.
             (State::MayHaveRun, Effect::Keyed) if self.record.alone => Plan::End(End::Unknown),
             (State::MayHaveRun, Effect::Keyed) => match self.until {
                 Some(until) if now < until && !left.is_zero() => Plan::Again(until),
@@ -215,8 +218,8 @@
 
 #[cfg(test)]
 pub(crate) mod tests {
+    use sandgap_agree::enrolment::MemberList;
     use sandgap_agree::lives::Enrolled;
-    use sandgap_agree::tenure::Roll;
 
     use super::*;
 
@@ -224,9 +227,10 @@
         Duration::from_millis(ms)
     }
 
-    pub(crate) fn roll(lives: &[Life]) -> Roll {
-        let enrolled = |life: &Life| Enrolled { draw: *life, name: format!("p{life}"), zone: None };
-        Roll::new(lives.iter().map(|life| (*life, enrolled(life))).collect())
+    pub(crate) fn member_list(lives: &[ProcessId]) -> MemberList {
+        let enrolled =
+            |life: &ProcessId| Enrolled { process_token: *life, name: format!("p{life}"), zone: None };
+        MemberList::new(lives.iter().map(|life| (*life, enrolled(life))).collect())
     }
 
     pub(crate) fn record(effect: Effect) -> Record {
--- a/crates/sandgap-takeover/src/words.rs
+++ b/crates/sandgap-takeover/src/words.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sandgap_agree::lives::{Claim, Epoch, Life};
+use sandgap_agree::lives::{Epoch, ProcessId, Succession};
 use serde::{Deserialize, Serialize};
 
 use crate::identity::{Content, Identity};
@@ -12,13 +12,13 @@
 /// The bytes of a request, as the front encoded them.
 pub type Bytes = Rc<[u8]>;
 
-/// The process that acts for a request: its owner under epoch 0, or an heir under the epoch of its claim.
+/// The process that acts for a request: its owner under epoch 0, or an heir under the epoch of its succession.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Actor {
     /// 0 for the owner that accepted it; of two actors, the one with the higher epoch prevails.
     pub epoch: Epoch,
     /// The acting process.
-    pub life: Life,
+    pub life: ProcessId,
 }
 
 /// A request from an owner to a keeper to store a step.
@@ -69,7 +69,7 @@
     /// The keeper's decision.
     pub verdict: Verdict,
     /// Processes that have to be asked before the step counts.
-    pub ask_also: Vec<Life>,
+    pub ask_also: Vec<ProcessId>,
 }
 
 /// A message between proxies.
@@ -82,10 +82,10 @@
     /// Asks whether an identity is known: the sender's sequence number, the identity and the content.
     Find(u64, Identity, Content),
     /// The reply: what is known (`None` for nothing), and which other processes have to be asked.
-    FindReply(u64, Option<Verdict>, Vec<Life>),
+    FindReply(u64, Option<Verdict>, Vec<ProcessId>),
     /// From an heir: asks for the records kept of an ended process, after the given identity.
-    QueryOrphans(u64, Claim, Option<Identity>),
-    /// One page of the reply: the query's number, the claim's epoch, the records, and whether more pages follow.
+    QueryOrphans(u64, Succession, Option<Identity>),
+    /// One page of the reply: the query's number, the succession's epoch, the records, and whether more pages follow.
     Orphans(u64, Epoch, Vec<Orphan>, bool),
 }
 
@@ -93,9 +93,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Letter {
     /// The sender.
-    pub from: Life,
+    pub from: ProcessId,
     /// The recipient.
-    pub to: Life,
+    pub to: ProcessId,
     /// The message.
     pub message: Message,
 }
--- a/crates/sandgap/src/config.rs
+++ b/crates/sandgap/src/config.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hyper::header::HeaderName;
-use sandgap_agree::Terms;
+use sandgap_agree::Timing;
 use sandgap_agree::rulebook::OnLapse;
 use sandgap_fleet::frame::Key;
 use serde_json::Value;
@@ -51,7 +51,7 @@
     /// The key that all proxies share.
     pub key: Key,
     /// The bound T and the times derived from it.
-    pub terms: Terms,
+    pub timing: Timing,
     /// Names and addresses of the voters at the start.
     pub voters: Vec<(String, SocketAddr)>,
     /// Addresses at which this proxy dials others, where they differ from the advertised ones.
--- a/crates/sandgap/src/daemon.rs
+++ b/crates/sandgap/src/daemon.rs
@@ -284,7 +284,8 @@
         spawn_local(upgrade.run(older));
     }
     let rules = fleet.map(|fleet| {
-        let rules = Rules::new(rules::runtime::agent(&fleet), fleet.terms.span.bound, fleet.header.clone());
+        let rules =
+            Rules::new(rules::runtime::agent(&fleet), fleet.timing.lease_bound.bound, fleet.header.clone());
         front.set_rules(rules.clone());
         let (inbox, front) = (agreed_inbox, front.clone());
         let parts =
--- a/crates/sandgap/src/rules/commands.rs
+++ b/crates/sandgap/src/rules/commands.rs
@@ -12,10 +12,10 @@
 
 use clap::{Args, Subcommand};
 use sandgap_agree::log::Saved;
-use sandgap_agree::machine::{Fate, Proposal, Seat, Verdict};
+use sandgap_agree::machine::{Proposal, Seat, Verdict, VersionState};
 use sandgap_agree::messages::{Message, Status, VoterChange};
 use sandgap_agree::store::{Opened, Store};
-use sandgap_agree::voter::fresh_seat;
+use sandgap_agree::voter::new_seat_number;
 use sandgap_agree::{Rulebook, Version, contradicts};
 use sandgap_fleet::link::{Incoming, Links};
 use sandgap_rollout::Entry;
@@ -267,9 +267,9 @@
     let seats: BTreeMap<u64, Seat> = fleet
         .voters
         .iter()
-        .map(|(name, address)| (fresh_seat(name, 0), Seat { name: name.clone(), address: *address }))
+        .map(|(name, address)| (new_seat_number(name, 0), Seat { name: name.clone(), address: *address }))
         .collect();
-    let saved = Saved::founding(fresh_seat(&fleet.name, 0), &seats);
+    let saved = Saved::founding(new_seat_number(&fleet.name, 0), &seats);
     Store::create(path, &saved).map_err(|e| CallError::Invalid(e.to_string()))?;
     let names: Vec<&str> = fleet.voters.iter().map(|(name, _)| name.as_str()).collect();
     println!("{}: created; the voters are {}", path.display(), names.join(", "));
@@ -502,13 +502,13 @@
             _ => None,
         };
         let version = match self.ask(Some(&leader.voter), message, take).await? {
-            Verdict::PutForward(version) | Verdict::Again(version) => version,
-            Verdict::Lost { standing } => {
+            Verdict::Pending(version) | Verdict::Duplicate(version) => version,
+            Verdict::StaleParent { standing } => {
                 let text =
                     format!("version {standing} is in force, not {parent}: review it and publish again");
                 return Err(CallError::Conflict(text));
             }
-            Verdict::Busy(other) => {
+            Verdict::OtherPending(other) => {
                 return Err(CallError::Conflict(format!(
                     "version {other} is under way: wait for it and publish again"
                 )));
@@ -517,9 +517,9 @@
         };
         loop {
             let status = self.leader().await?;
-            let fate = status.history.iter().find(|l| l.version == version).map(|l| l.fate.clone());
+            let fate = status.history.iter().find(|l| l.version == version).map(|l| l.state.clone());
             match fate {
-                Some(Fate::Stood) => {
+                Some(VersionState::InForce) => {
                     if self.json {
                         println!("{}", json!({"version": version, "in_force": true}));
                     } else {
@@ -527,12 +527,12 @@
                     }
                     return Ok(());
                 }
-                Some(Fate::Abandoned(why)) => {
+                Some(VersionState::Abandoned(why)) => {
                     let reasons: Vec<String> = why.iter().map(|(who, why)| format!("{who}: {why}")).collect();
                     let text = format!("version {version} was not switched to:\n  {}", reasons.join("\n  "));
                     return Err(CallError::Rejected(text));
                 }
-                Some(Fate::Pending) | None => sleep(POLL_INTERVAL).await,
+                Some(VersionState::Pending) | None => sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -564,11 +564,11 @@
     async fn history(&mut self) -> Result<()> {
         let status = self.leader().await?;
         for line in &status.history {
-            let fate = match &line.fate {
-                Fate::Pending => "put forward".to_owned(),
-                Fate::Stood if line.version == status.standing.version => "in force".to_owned(),
-                Fate::Stood => "was in force".to_owned(),
-                Fate::Abandoned(why) => {
+            let fate = match &line.state {
+                VersionState::Pending => "put forward".to_owned(),
+                VersionState::InForce if line.version == status.standing.version => "in force".to_owned(),
+                VersionState::InForce => "was in force".to_owned(),
+                VersionState::Abandoned(why) => {
                     let who: Vec<&str> = why.iter().map(|(who, _)| who.as_str()).collect();
                     format!("abandoned for {}", who.join(", "))
                 }
@@ -608,7 +608,7 @@
             return Ok(());
         }
         let s = &status.standing;
-        let bound = config.fleet.as_ref().map_or(Duration::ZERO, |f| f.terms.span.bound);
+        let bound = config.fleet.as_ref().map_or(Duration::ZERO, |f| f.timing.lease_bound.bound);
         println!("version {} ({}) in force, T {} ms", s.version, s.digest, bound.as_millis());
         if let Some((version, digest)) = &s.pending {
             println!(
@@ -634,7 +634,7 @@
     async fn wait(&mut self, version: Version) -> Result<()> {
         loop {
             let status = self.leader().await?;
-            let live = self.fleet.terms.live().as_millis() as u64;
+            let live = self.fleet.timing.lease_horizon().as_millis() as u64;
             let behind: Vec<&str> = status
                 .members
                 .iter()
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -88,7 +88,7 @@
 
 /// An agent of this fleet without any state.
 pub fn agent(fleet: &Fleet) -> Agent {
-    Agent::new(now(), &fleet.name, fleet.terms, fleet.voters.clone(), random_u64())
+    Agent::new(now(), &fleet.name, fleet.timing, fleet.voters.clone(), random_u64())
 }
 
 impl Runtime {
--- a/crates/sandgap/src/settings/fleet.rs
+++ b/crates/sandgap/src/settings/fleet.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use hyper::header::HeaderName;
-use sandgap_agree::Span;
-use sandgap_agree::Terms;
+use sandgap_agree::LeaseBound;
+use sandgap_agree::Timing;
 use sandgap_fleet::Drift;
 use sandgap_fleet::frame::Key;
 use sandgap_fleet::limits::MAX_NAME_BYTES;
@@ -53,13 +53,13 @@
         header => header.and_then(Result::ok),
     };
     let bound = Duration::from_secs_f64(file.fleet.bound_ms / 1000.0);
-    let span = Span { bound, drift: Drift::ppm(file.fleet.drift_ppm) };
+    let lease_bound = LeaseBound { bound, drift: Drift::ppm(file.fleet.drift_ppm) };
     Some(Fleet {
         name,
         zone: file.proxy.zone.clone(),
         listen,
         key,
-        terms: Terms::new(span, file.fleet.order == "apart"),
+        timing: Timing::new(lease_bound, file.fleet.order == "apart"),
         voters: file.voter.iter().map(|v| (v.name.clone(), v.address)).collect(),
         dial_addresses: file.way.iter().map(|w| (w.to.clone(), w.address)).collect(),
         store: file.fleet.store.clone(),
