--- a/crates/sandgap-agree/src/agent.rs
+++ b/crates/sandgap-agree/src/agent.rs
@@ -8,7 +8,7 @@
 use sandgap_fleet::Time;
 
 use crate::enrolment::{Enrolment, EnrolmentEvent};
-use crate::follower::{Follower, Step, Taking};
+use crate::follower::{Follower, Step, TakePermission};
 use crate::limits::MAX_RELAYED_ASKS;
 use crate::lives::{Enrolled, Epoch, ProcessId, next_random};
 use crate::log::{Damaged, Saved, Write};
@@ -31,7 +31,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Send a message to a proxy, with its address if it is known here.
-    Say(String, Option<SocketAddr>, Message),
+    Send(String, Option<SocketAddr>, Message),
     /// Write this to the voter's disk, and call [`Agent::written`] with its number.
     Write(Write),
     /// Check whether this proxy can use the version, and call [`Agent::checked`].
@@ -39,11 +39,11 @@
     /// Act on this version.
     Act(Version, Rc<Rulebook>),
     /// The enrolment of this process, or the membership list, has changed.
-    Turn(EnrolmentEvent),
+    Enrolment(EnrolmentEvent),
     /// The messages of the log's riders to this proxy, which came with a grant.
-    Told(RiderMessages),
+    RiderMessages(RiderMessages),
     /// Log a message.
-    Note(String),
+    Log(String),
 }
 
 /// A proxy's participant in agreed rules, see the module.
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Makes this proxy a voter that resumes from its store. With a blank store, see [`Saved::blank`], it takes no part
-    /// until the other voters have replaced its lost seat by the new one. `address` is its own address.
+    /// Makes this proxy a voter that resumes from its store. With an empty store, see [`Saved::empty`], it takes no
+    /// part until the other voters have replaced its lost seat by the new one. `address` is its own address.
     ///
     /// # Errors
     /// If the store is damaged.
@@ -122,10 +122,10 @@
     }
 
     /// Makes this process enrol as a life from now on.
-    pub fn enlist(&mut self, zone: Option<String>) {
+    pub fn enrol(&mut self, zone: Option<String>) {
         // Distinct from the numbers of lease requests, and never 0, which means none.
         let process_token = self.random_state.rotate_left(29).max(1);
-        self.follower.enlist(Enrolment::new(Enrolled { process_token, name: self.name.clone(), zone }));
+        self.follower.enrol(Enrolment::new(Enrolled { process_token, name: self.name.clone(), zone }));
     }
 
     /// The enrolment of this process, if it wants one.
@@ -134,7 +134,7 @@
     }
 
     /// Records that this process has settled the requests of an ended life.
-    pub fn settled(&mut self, now: Time, epoch: Epoch) {
+    pub fn report_settled(&mut self, now: Time, epoch: Epoch) {
         if let Some(enrolment) = self.follower.enrolment_mut() {
             enrolment.settle(epoch);
             self.send_entries(now);
@@ -142,9 +142,9 @@
     }
 
     /// Ends the life of this process for a shutdown: from here on nothing is done under it.
-    pub fn leave(&mut self, now: Time) {
+    pub fn end_life(&mut self, now: Time) {
         if let Some(enrolment) = self.follower.enrolment_mut() {
-            enrolment.leave();
+            enrolment.end_life();
             self.send_entries(now);
         }
     }
@@ -156,7 +156,7 @@
     }
 
     /// Reports that a proxy refuses connections.
-    pub fn missed(&mut self, now: Time, name: &str) {
+    pub fn report_unreachable(&mut self, now: Time, name: &str) {
         self.send_to_voter(Message::Unreachable(name.to_owned()));
         self.deliver_own(now);
     }
@@ -169,8 +169,8 @@
     }
 
     /// Sets the message to a rider of the log that is sent with each lease request; empty for none.
-    pub fn tell(&mut self, tag: Tag, bytes: Vec<u8>) {
-        self.follower.tell(tag, bytes);
+    pub fn set_rider_message(&mut self, tag: Tag, bytes: Vec<u8>) {
+        self.follower.set_rider_message(tag, bytes);
     }
 
     /// Counts a request that was refused for lack of a lease.
@@ -179,7 +179,7 @@
     }
 
     /// The right to take a request now, see [`Follower::take`].
-    pub fn take(&self, now: Time) -> Option<Taking<'_>> {
+    pub fn take(&self, now: Time) -> Option<TakePermission<'_>> {
         self.follower.take(now)
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Sets the other connected proxies, which may relay a lease request.
-    pub fn present(&mut self, others: Vec<String>) {
+    pub fn set_peers(&mut self, others: Vec<String>) {
         self.others = others;
     }
 
@@ -232,7 +232,7 @@
         let change = VoterChange::Rebuild { name: self.name.clone(), address, id: voter.seat() };
         for (name, address) in self.voters.clone() {
             if name != self.name {
-                self.out.push_back(Output::Say(
+                self.out.push_back(Output::Send(
                     name,
                     Some(address),
                     Message::ChangeVoters(0, change.clone()),
@@ -281,12 +281,12 @@
         } else {
             let known = || self.voters.iter().find(|(name, _)| *name == to).map(|(_, a)| *a);
             let address = address.or_else(known);
-            self.out.push_back(Output::Say(to, address, message));
+            self.out.push_back(Output::Send(to, address, message));
         }
     }
 
     fn log(&mut self, text: String) {
-        self.out.push_back(Output::Note(text));
+        self.out.push_back(Output::Log(text));
     }
 
     /// Delivers messages between the parts of this proxy.
@@ -298,7 +298,7 @@
     }
 
     /// Processes a message from another proxy.
-    pub fn hear(&mut self, now: Time, from: &str, message: Message) {
+    pub fn receive(&mut self, now: Time, from: &str, message: Message) {
         self.dispatch(now, from, message);
         self.deliver_own(now);
     }
@@ -369,7 +369,7 @@
             match action {
                 Action::Send(to, message) => self.send(to, None, message),
                 Action::Write(write) => self.out.push_back(Output::Write(write)),
-                Action::Note(text) => self.log(text),
+                Action::Log(text) => self.log(text),
                 Action::RulesState => {
                     let Some(voter) = &self.voter else { continue };
                     let standing = voter.standing();
@@ -416,7 +416,7 @@
         self.push_events(now, events);
         if grant.rider_messages != self.last_rider_messages {
             self.last_rider_messages.clone_from(&grant.rider_messages);
-            self.out.push_back(Output::Told(grant.rider_messages));
+            self.out.push_back(Output::RiderMessages(grant.rider_messages));
         }
         if let Some(since) = self.follower.enrolment().and_then(Enrolment::outdated_list) {
             self.send(from.to_owned(), None, Message::FetchMembers(since));
@@ -429,7 +429,7 @@
             if matches!(event, EnrolmentEvent::Ended(_)) {
                 self.next_ask = now; // enrol again at once
             }
-            self.out.push_back(Output::Turn(event));
+            self.out.push_back(Output::Enrolment(event));
         }
     }
 
@@ -453,7 +453,7 @@
         if let Some(enrolment) = self.follower.enrolment_mut() {
             enrolment.receive_member_list(list_number, all, recently_ended, &mut events);
         }
-        self.out.extend(events.into_iter().map(Output::Turn));
+        self.out.extend(events.into_iter().map(Output::Enrolment));
     }
 
     fn handle_news(&mut self, now: Time, from: &str, standing: &RulesState) {
@@ -528,7 +528,7 @@
     }
 
     /// Transfers leadership, if this proxy's voter is the leader, before a planned shutdown.
-    pub fn retire(&mut self, now: Time) {
+    pub fn hand_over_lead(&mut self, now: Time) {
         self.with_voter(|v, out| v.hand_over_lead(now, out));
     }
 }
--- a/crates/sandgap-agree/src/enrolment.rs
+++ b/crates/sandgap-agree/src/enrolment.rs
@@ -92,7 +92,7 @@
             (Some(old), Some(life)) if old == life => {
                 self.lease.granted(asked, lease_bound.bound, lease_bound.drift);
             }
-            (Some(old), _) => self.end_life(old, events),
+            (Some(old), _) => self.record_end(old, events),
             (None, _) => {}
         }
         if self.life.is_some() && self.life == state.life {
@@ -100,7 +100,7 @@
         }
     }
 
-    fn end_life(&mut self, old: ProcessId, events: &mut Vec<EnrolmentEvent>) {
+    fn record_end(&mut self, old: ProcessId, events: &mut Vec<EnrolmentEvent>) {
         self.life = None;
         self.lease.release();
         self.successions.clear();
@@ -145,7 +145,7 @@
     }
 
     /// Gives up the lease for a shutdown: from here on nothing is done under this life.
-    pub fn leave(&mut self) {
+    pub fn end_life(&mut self) {
         self.leaving = true;
         self.lease.release();
     }
@@ -245,7 +245,7 @@
     fn a_leaving_process_fences_itself_until_confirmed() {
         let mut h = enrolment();
         grant(&mut h, 0, Some(5), &[]);
-        h.leave();
+        h.end_life();
         assert!(h.permission(ms(1)).is_none());
         assert!(grant(&mut h, 2, Some(5), &[]).is_empty());
         assert!(h.permission(ms(3)).is_none(), "a late grant does not renew the lease");
--- a/crates/sandgap-agree/src/follower.rs
+++ b/crates/sandgap-agree/src/follower.rs
@@ -44,7 +44,7 @@
 
 /// The right to take one request now, under a version.
 #[derive(Debug)]
-pub struct Taking<'a> {
+pub struct TakePermission<'a> {
     /// The version.
     pub version: Version,
     /// The lease behind it.
@@ -97,7 +97,7 @@
     }
 
     /// Sets the message to a rider of the log that is sent with each lease request; empty for none.
-    pub fn tell(&mut self, tag: Tag, bytes: Vec<u8>) {
+    pub fn set_rider_message(&mut self, tag: Tag, bytes: Vec<u8>) {
         self.rider_messages.retain(|(t, _)| *t != tag);
         if !bytes.is_empty()
             && bytes.len() <= MAX_RIDER_MESSAGE_BYTES
@@ -108,7 +108,7 @@
     }
 
     /// Makes this process enrol as a life from now on.
-    pub fn enlist(&mut self, enrolment: Enrolment) {
+    pub fn enrol(&mut self, enrolment: Enrolment) {
         self.enrolment = Some(enrolment);
     }
 
@@ -262,11 +262,11 @@
 
     /// The right to take a request now; `None` if the lease has lapsed or there is no version to act on. To be called
     /// for each request, and again before a request's first byte goes to a backend.
-    pub fn take(&self, now: Time) -> Option<Taking<'_>> {
+    pub fn take(&self, now: Time) -> Option<TakePermission<'_>> {
         if self.acting == 0 || self.known.closed {
             return None;
         }
-        Some(Taking { version: self.acting, permission: self.lease.permission(now)? })
+        Some(TakePermission { version: self.acting, permission: self.lease.permission(now)? })
     }
 
     /// Counts a request that was refused for lack of a lease.
--- a/crates/sandgap-agree/src/log.rs
+++ b/crates/sandgap-agree/src/log.rs
@@ -20,7 +20,7 @@
     /// Increasing; the acknowledgement of a number covers all earlier writes.
     pub number: u64,
     /// The encoded hard state: term, vote and commit index.
-    pub hard: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     /// Indexes and encoded entries. They replace all stored entries from the first index on.
     pub entries: Vec<(u64, Vec<u8>)>,
     /// Index and encoded snapshot. If the index lies beyond all stored entries, they are deleted.
@@ -34,8 +34,8 @@
 pub struct Saved {
     /// The number of this voter's seat.
     pub seat: u64,
-    /// See [`Write::hard`].
-    pub hard: Option<Vec<u8>>,
+    /// See [`Write::hard_state`].
+    pub hard_state: Option<Vec<u8>>,
     /// See [`Write::entries`].
     pub entries: Vec<(u64, Vec<u8>)>,
     /// See [`Write::snapshot`].
@@ -47,16 +47,16 @@
 pub enum Damaged {
     /// The contents differ from what was written.
     #[error("the voter's store is damaged: {0}")]
-    Broken(&'static str),
+    Corrupt(&'static str),
     /// Another build of the program wrote them.
     #[error("the voter's store: {0}")]
-    Foreign(#[from] Unreadable),
+    OtherBuild(#[from] Unreadable),
     /// A later build of the program wrote them.
     #[error(
         "the voter's store has format {0}, but this build of sandgap reads formats up to {SNAPSHOT_FORMAT}: \
          start the later build"
     )]
-    Later(u8),
+    LaterFormat(u8),
 }
 
 /// The contents of a snapshot: the state that the log has built, with that of its riders.
@@ -76,14 +76,14 @@
 
 impl Saved {
     /// The initial store of a voter of a new fleet: its seat, and the set of voters.
-    pub fn founding(seat: u64, seats: &BTreeMap<u64, Seat>) -> Self {
+    pub fn initial(seat: u64, seats: &BTreeMap<u64, Seat>) -> Self {
         let image = Image { machine: RulesMachine::new(seats.clone()), parts: RiderMessages::new() };
         let snapshot = encode_snapshot(&image, 1, 1, conf_state(seats));
         Saved { seat, snapshot: Some((1, encode_proto(&snapshot))), ..Saved::default() }
     }
 
     /// An empty store, for a voter that has lost its disk, until the other voters have rebuilt it.
-    pub fn blank(seat: u64) -> Self {
+    pub fn empty(seat: u64) -> Self {
         Saved { seat, ..Saved::default() }
     }
 
@@ -93,12 +93,12 @@
     ///
     /// # Errors
     /// If the store is damaged, or its seat does not belong to the set of voters.
-    pub fn alone(&self, mut riders: Riders) -> Result<Saved, Damaged> {
+    pub fn recover_as_sole_voter(&self, mut riders: Riders) -> Result<Saved, Damaged> {
         let (log, image) = Log::load(self)?;
         riders.restore(&image.parts)?;
         let mut machine = image.machine;
         let seated = machine.seats.get(&self.seat).cloned();
-        let seat = seated.ok_or(Damaged::Broken("it has no seat among the voters"))?;
+        let seat = seated.ok_or(Damaged::Corrupt("it has no seat among the voters"))?;
         let from = self.snapshot.as_ref().map_or(0, |(index, _)| *index);
         // Entries at the end may have been committed by voters that are lost, so all of them are applied.
         for entry in log.entries.iter().filter(|e| e.index > from) {
@@ -111,7 +111,7 @@
         machine.seats = BTreeMap::from([(self.seat, seat)]);
         machine.skip_numbers(RECOVERY_GAP);
         riders.skip_numbers(RECOVERY_GAP);
-        let term = log.entries.back().map_or(log.preceding.1, |e| e.term).max(log.hard.term);
+        let term = log.entries.back().map_or(log.preceding.1, |e| e.term).max(log.hard_state.term);
         let (index, term) = (log.last() + RECOVERY_GAP, term + RECOVERY_GAP);
         let conf = conf_state(&machine.seats);
         let snapshot = encode_snapshot(&Image { machine, parts: riders.snapshot() }, index, term, conf);
@@ -119,9 +119,9 @@
     }
 
     /// Applies a write, as the store on the disk does.
-    pub fn put(&mut self, write: &Write) {
-        if let Some(hard) = &write.hard {
-            self.hard = Some(hard.clone());
+    pub fn apply(&mut self, write: &Write) {
+        if let Some(hard_state) = &write.hard_state {
+            self.hard_state = Some(hard_state.clone());
         }
         if let Some((index, snapshot)) = &write.snapshot {
             self.snapshot = Some((*index, snapshot.clone()));
@@ -168,24 +168,24 @@
 /// Decodes the contents of a snapshot. One without a mark is of the first format, with rules and lives alone.
 pub(crate) fn decode_snapshot(snapshot: &Snapshot) -> Result<Image, Damaged> {
     let data = snapshot.get_data();
-    let broken = Damaged::Broken("the snapshot's contents");
+    let corrupt = Damaged::Corrupt("the snapshot's contents");
     match data.strip_prefix(&FORMAT_MARK).map(<[u8]>::split_first) {
         Some(Some((&SNAPSHOT_FORMAT, rest))) => match postcard::take_from_bytes(rest) {
             Ok(((machine, parts), [])) => Ok(Image { machine, parts }),
-            _ => Err(broken),
+            _ => Err(corrupt),
         },
-        Some(Some((format, _))) if *format > SNAPSHOT_FORMAT => Err(Damaged::Later(*format)),
-        Some(_) => Err(broken),
+        Some(Some((format, _))) if *format > SNAPSHOT_FORMAT => Err(Damaged::LaterFormat(*format)),
+        Some(_) => Err(corrupt),
         None => match postcard::take_from_bytes(data) {
             Ok((machine, [])) => Ok(Image { machine, parts: RiderMessages::new() }),
-            _ => Err(broken),
+            _ => Err(corrupt),
         },
     }
 }
 
 /// The in-memory log, see the module.
 pub struct Log {
-    hard: HardState,
+    hard_state: HardState,
     conf: ConfState,
     entries: VecDeque<Entry>,
     /// Index and term of the entry before the first.
@@ -196,13 +196,13 @@
 impl Log {
     /// Loads the log and the contents of its snapshot from a store.
     pub fn load(saved: &Saved) -> Result<(Self, Image), Damaged> {
-        let hard = match &saved.hard {
-            Some(bytes) => decode_proto(bytes).ok_or(Damaged::Broken("term and vote"))?,
+        let hard_state = match &saved.hard_state {
+            Some(bytes) => decode_proto(bytes).ok_or(Damaged::Corrupt("term and vote"))?,
             None => HardState::default(),
         };
         let (snapshot, image) = match &saved.snapshot {
             Some((_, bytes)) => {
-                let snapshot: Snapshot = decode_proto(bytes).ok_or(Damaged::Broken("the snapshot"))?;
+                let snapshot: Snapshot = decode_proto(bytes).ok_or(Damaged::Corrupt("the snapshot"))?;
                 let image = decode_snapshot(&snapshot)?;
                 (snapshot, image)
             }
@@ -211,22 +211,22 @@
         let meta = snapshot.get_metadata();
         let at = (meta.index, meta.term);
         let mut log = Log {
-            hard,
+            hard_state,
             conf: meta.get_conf_state().clone(),
             entries: VecDeque::new(),
             preceding: at,
             snapshot: snapshot.clone(),
         };
         for (index, bytes) in &saved.entries {
-            let entry: Entry = decode_proto(bytes).ok_or(Damaged::Broken("an entry"))?;
+            let entry: Entry = decode_proto(bytes).ok_or(Damaged::Corrupt("an entry"))?;
             if entry.index != *index {
-                return Err(Damaged::Broken("an entry's number"));
+                return Err(Damaged::Corrupt("an entry's number"));
             }
             match log.entries.back().map(|e| e.index) {
                 None if *index <= at.0 => log.preceding = (index - 1, 0), // entries retained for voters that lag
                 None if *index == at.0 + 1 => {}
                 Some(last) if last + 1 == *index => {}
-                _ => return Err(Damaged::Broken("a gap between entries")),
+                _ => return Err(Damaged::Corrupt("a gap between entries")),
             }
             log.entries.push_back(entry);
         }
@@ -234,10 +234,10 @@
             log.entries.clear();
             log.preceding = at;
         }
-        log.hard.commit = log.hard.commit.max(at.0);
-        log.hard.term = log.hard.term.max(at.1);
-        if log.hard.commit > log.last() {
-            return Err(Damaged::Broken("entries that were acknowledged are missing"));
+        log.hard_state.commit = log.hard_state.commit.max(at.0);
+        log.hard_state.term = log.hard_state.term.max(at.1);
+        if log.hard_state.commit > log.last() {
+            return Err(Damaged::Corrupt("entries that were acknowledged are missing"));
         }
         Ok((log, image))
     }
@@ -250,8 +250,8 @@
         self.entries.back().map_or(self.preceding.0, |e| e.index)
     }
 
-    pub(crate) fn set_hard(&mut self, hard: HardState) {
-        self.hard = hard;
+    pub(crate) fn set_hard_state(&mut self, hard_state: HardState) {
+        self.hard_state = hard_state;
     }
 
     pub(crate) fn set_conf(&mut self, conf: ConfState) {
@@ -274,8 +274,8 @@
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         let meta = snapshot.get_metadata();
         self.preceding = (meta.index, meta.term);
-        self.hard.commit = meta.index;
-        self.hard.term = self.hard.term.max(meta.term);
+        self.hard_state.commit = meta.index;
+        self.hard_state.term = self.hard_state.term.max(meta.term);
         self.conf = meta.get_conf_state().clone();
         self.entries.clear();
         self.snapshot = snapshot;
@@ -301,7 +301,7 @@
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        Ok(RaftState::new(self.hard.clone(), self.conf.clone()))
+        Ok(RaftState::new(self.hard_state.clone(), self.conf.clone()))
     }
 
     fn entries(
@@ -363,7 +363,7 @@
 
     #[test]
     fn an_initial_store_contains_the_voters() {
-        let (log, image) = Log::load(&Saved::founding(2, &seats())).expect("good");
+        let (log, image) = Log::load(&Saved::initial(2, &seats())).expect("good");
         assert_eq!(image.machine.seats, seats());
         assert_eq!(log.conf().get_voters(), [1, 2, 3]);
         assert_eq!((log.first(), log.last()), (2, 1));
@@ -371,39 +371,39 @@
 
     #[test]
     fn later_writes_replace_earlier_entries() {
-        let mut saved = Saved::founding(1, &seats());
-        saved.put(&Write { entries: vec![entry(2, 1), entry(3, 1), entry(4, 1)], ..Write::default() });
-        saved.put(&Write { entries: vec![entry(3, 2)], ..Write::default() });
+        let mut saved = Saved::initial(1, &seats());
+        saved.apply(&Write { entries: vec![entry(2, 1), entry(3, 1), entry(4, 1)], ..Write::default() });
+        saved.apply(&Write { entries: vec![entry(3, 2)], ..Write::default() });
         let (log, _) = Log::load(&saved).expect("good");
         assert_eq!((log.last(), log.term(3).expect("there")), (3, 2));
-        saved.put(&Write { cut: Some(2), ..Write::default() });
+        saved.apply(&Write { cut: Some(2), ..Write::default() });
         assert!(Log::load(&saved).is_err(), "a gap after the snapshot");
     }
 
     #[test]
     fn a_sole_voter_resumes_from_its_store() {
-        let mut saved = Saved::founding(2, &seats());
-        saved.put(&Write { entries: vec![entry(2, 5), entry(3, 5)], ..Write::default() });
-        let alone = saved.alone(Riders::none()).expect("sound");
-        let (log, image) = Log::load(&alone).expect("sound");
+        let mut saved = Saved::initial(2, &seats());
+        saved.apply(&Write { entries: vec![entry(2, 5), entry(3, 5)], ..Write::default() });
+        let recovered = saved.recover_as_sole_voter(Riders::none()).expect("sound");
+        let (log, image) = Log::load(&recovered).expect("sound");
         assert_eq!(log.conf().get_voters(), [2]);
         assert_eq!(image.machine.seats.len(), 1);
         assert!(log.last() > 3 + RECOVERY_GAP / 2 && log.term(log.last()).expect("there") > 5);
-        assert!(Saved::blank(9).alone(Riders::none()).is_err());
+        assert!(Saved::empty(9).recover_as_sole_voter(Riders::none()).is_err());
     }
 
     #[test]
     fn missing_and_damaged_records_are_detected() {
-        let mut saved = Saved::founding(1, &seats());
-        saved.put(&Write { entries: vec![entry(2, 1), entry(3, 1)], ..Write::default() });
-        let hard = HardState { term: 1, vote: 1, commit: 3, ..HardState::default() };
-        saved.put(&Write { hard: Some(encode_proto(&hard)), ..Write::default() });
+        let mut saved = Saved::initial(1, &seats());
+        saved.apply(&Write { entries: vec![entry(2, 1), entry(3, 1)], ..Write::default() });
+        let hard_state = HardState { term: 1, vote: 1, commit: 3, ..HardState::default() };
+        saved.apply(&Write { hard_state: Some(encode_proto(&hard_state)), ..Write::default() });
         assert!(Log::load(&saved).is_ok());
         let mut torn = saved.clone();
         torn.entries.pop();
         assert_eq!(
             Log::load(&torn).err(),
-            Some(Damaged::Broken("entries that were acknowledged are missing"))
+            Some(Damaged::Corrupt("entries that were acknowledged are missing"))
         );
         let mut swapped = saved.clone();
         swapped.entries[0].0 = 3;
@@ -415,7 +415,7 @@
     #[test]
     fn snapshots_of_the_first_format_are_read_and_of_later_ones_refused() {
         let machine = RulesMachine::new(seats());
-        let mut saved = Saved::founding(1, &seats());
+        let mut saved = Saved::initial(1, &seats());
         let mut load_snapshot = |data: Vec<u8>| {
             let mut snapshot = Snapshot::default();
             snapshot.set_data(data.into());
@@ -428,7 +428,7 @@
         assert_eq!(load_snapshot(old), Ok(Image { machine: machine.clone(), parts: vec![] }));
         assert_eq!(
             load_snapshot([&FORMAT_MARK[..], &[SNAPSHOT_FORMAT + 1, 3, 4]].concat()),
-            Err(Damaged::Later(SNAPSHOT_FORMAT + 1))
+            Err(Damaged::LaterFormat(SNAPSHOT_FORMAT + 1))
         );
         let parts = vec![(9, vec![1])];
         let new = postcard::to_stdvec(&(&machine, &parts)).expect("plain");
@@ -440,8 +440,8 @@
 
     #[test]
     fn a_compacted_log_knows_the_term_of_its_last_removed_entry() {
-        let mut saved = Saved::founding(1, &seats());
-        saved.put(&Write { entries: (2..200).map(|i| entry(i, 1)).collect(), ..Write::default() });
+        let mut saved = Saved::initial(1, &seats());
+        saved.apply(&Write { entries: (2..200).map(|i| entry(i, 1)).collect(), ..Write::default() });
         let (mut log, image) = Log::load(&saved).expect("good");
         let removed = log.compact(encode_snapshot(&image, 150, 1, log.conf().clone()));
         assert_eq!(removed, 150 - RETAINED_ENTRIES);
--- a/crates/sandgap-agree/src/store.rs
+++ b/crates/sandgap-agree/src/store.rs
@@ -8,7 +8,7 @@
 //!
 //! An I/O error is different: the disk may be full or unreachable for a while, which says nothing about its contents
 //! ([`Opened::Unavailable`]). Stores are created atomically: written under a temporary name, synced and renamed. After
-//! a failed write or sync, the contents on the disk are unknown whatever can be read (fsync(2)): [`Store::renew`]
+//! a failed write or sync, the contents on the disk are unknown whatever can be read (fsync(2)): [`Store::rewrite`]
 //! writes the store again.
 
 use std::io::ErrorKind;
@@ -18,7 +18,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 use crate::limits::MAX_PENDING_WRITES;
-use crate::log::Damaged::{Broken, Foreign, Later};
+use crate::log::Damaged::{Corrupt, LaterFormat, OtherBuild};
 use crate::log::{Log, Saved, Write};
 
 const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
@@ -50,7 +50,7 @@
 /// The result of opening a store.
 pub enum Opened {
     /// The store is intact.
-    Sound(Store, Saved),
+    Intact(Store, Saved),
     /// There is no store.
     Missing,
     /// The store is damaged and must not be used.
@@ -139,7 +139,7 @@
         }
         let store = Store { db: Database::create(new)?, path: new.to_owned() };
         let all = Write {
-            hard: saved.hard.clone(),
+            hard_state: saved.hard_state.clone(),
             entries: saved.entries.clone(),
             snapshot: saved.snapshot.clone(),
             ..Write::default()
@@ -155,7 +155,7 @@
         }
         // The database may panic on a file that it can't parse.
         match std::panic::catch_unwind(|| Store::open_checked(path)) {
-            Ok(Ok((store, saved))) => Opened::Sound(store, saved),
+            Ok(Ok((store, saved))) => Opened::Intact(store, saved),
             Ok(Err(Unusable::Unavailable(why))) => Opened::Unavailable(why),
             Ok(Err(Unusable::Damaged(why))) => Opened::Damaged(why),
             Err(_) => Opened::Damaged("the database failed while reading the file".into()),
@@ -170,20 +170,20 @@
         let saved = store.read()?;
         match Log::load(&saved) {
             Ok(_) => Ok((store, saved)),
-            Err(Broken(what)) => Err(Unusable::Damaged(Broken(what).to_string())),
+            Err(Corrupt(what)) => Err(Unusable::Damaged(Corrupt(what).to_string())),
             // A store of another build is intact: it must be neither moved aside nor replaced by a blank one.
-            Err(e @ (Foreign(_) | Later(_))) => Err(Unusable::Unavailable(e.to_string())),
+            Err(e @ (OtherBuild(_) | LaterFormat(_))) => Err(Unusable::Unavailable(e.to_string())),
         }
     }
 
     /// Opens a store after the disk has failed, and writes all of it again: data that can be read need not be on the
     /// disk.
-    pub fn renew(path: &Path) -> Opened {
+    pub fn rewrite(path: &Path) -> Opened {
         match Store::open(path) {
-            Opened::Sound(store, saved) => {
+            Opened::Intact(store, saved) => {
                 drop(store);
                 match Store::write_atomically(path, &saved) {
-                    Ok(store) => Opened::Sound(store, saved),
+                    Ok(store) => Opened::Intact(store, saved),
                     Err(e) => Opened::Unavailable(e.to_string()),
                 }
             }
@@ -195,7 +195,7 @@
     ///
     /// # Errors
     /// On an I/O error.
-    pub fn set_aside(path: &Path) -> Result<PathBuf, StoreError> {
+    pub fn move_aside(path: &Path) -> Result<PathBuf, StoreError> {
         let aside = unused_path(path, "damaged");
         std::fs::rename(path, &aside).map_err(|e| disk_error(path, e))?;
         Ok(aside)
@@ -223,7 +223,7 @@
         };
         let seat = value_of(SEAT)?.and_then(|b| b.try_into().ok()).map(u64::from_le_bytes);
         let seat = seat.ok_or_else(|| Unusable::Damaged("the seat is missing or malformed".into()))?;
-        let hard = value_of(HARD)?;
+        let hard_state = value_of(HARD)?;
         let snapshot = match value_of(SNAPSHOT)? {
             Some(bytes) => {
                 let malformed = || Unusable::Damaged("the snapshot has no index".into());
@@ -240,14 +240,14 @@
             let mismatch = || Unusable::Damaged(format!("the hash of entry {index} does not match"));
             entries.push((index, value.ok_or_else(mismatch)?));
         }
-        Ok(Saved { seat, hard, entries, snapshot })
+        Ok(Saved { seat, hard_state, entries, snapshot })
     }
 
     /// Persists a write: when this returns `Ok`, it is on the disk.
     ///
     /// # Errors
     /// On an I/O error (full, missing or broken disk). Nothing is guaranteed then.
-    pub fn keep(&self, write: &Write) -> Result<(), StoreError> {
+    pub fn write(&self, write: &Write) -> Result<(), StoreError> {
         self.commit(write, None).map_err(|e| disk_error(&self.path, e))
     }
 
@@ -261,8 +261,8 @@
             if let Some(seat) = seat {
                 put(SEAT, &seat.to_le_bytes())?;
             }
-            if let Some(hard) = &write.hard {
-                put(HARD, hard)?;
+            if let Some(hard_state) = &write.hard_state {
+                put(HARD, hard_state)?;
             }
             if let Some((index, snapshot)) = &write.snapshot {
                 put(SNAPSHOT, &[&index.to_le_bytes()[..], snapshot].concat())?;
@@ -334,7 +334,7 @@
         let (writes, waiting) = sync_channel::<Write>(2 * MAX_PENDING_WRITES);
         std::thread::Builder::new().name("rules-disk".into()).spawn(move || {
             while let Ok(write) = waiting.recv() {
-                let kept = store.keep(&write).map(|()| write.number).map_err(|e| e.to_string());
+                let kept = store.write(&write).map(|()| write.number).map_err(|e| e.to_string());
                 let failed = kept.is_err();
                 on_result(kept);
                 if failed {
@@ -349,7 +349,7 @@
     ///
     /// # Errors
     /// If the queue is full or the thread has ended: the voter must take no further part.
-    pub fn keep(&self, write: Write) -> Result<(), &'static str> {
+    pub fn write(&self, write: Write) -> Result<(), &'static str> {
         self.writes.try_send(write).map_err(|e| match e {
             TrySendError::Full(_) => "its write queue is full",
             TrySendError::Disconnected(_) => "its writer has stopped",
@@ -386,10 +386,10 @@
         }
     }
 
-    fn founding() -> Saved {
+    fn initial() -> Saved {
         let seat = |n: u16| Seat { name: format!("v{n}"), address: ([127, 0, 0, 1], n).into() };
         let seats: BTreeMap<u64, Seat> = (1..=3).map(|n| (u64::from(n), seat(n))).collect();
-        Saved::founding(2, &seats)
+        Saved::initial(2, &seats)
     }
 
     fn entries(range: std::ops::Range<u64>, term: u64) -> Vec<(u64, Vec<u8>)> {
@@ -398,20 +398,20 @@
         range.map(|i| (i, encode_proto(&entry(i)))).collect()
     }
 
-    fn hard(term: u64, commit: u64) -> Option<Vec<u8>> {
+    fn hard_state(term: u64, commit: u64) -> Option<Vec<u8>> {
         Some(encode_proto(&raft::eraftpb::HardState { term, vote: 2, commit, ..Default::default() }))
     }
 
     /// Typical writes of a voter.
     fn writes() -> Vec<Write> {
         vec![
-            Write { number: 1, hard: hard(1, 1), entries: entries(2..6, 1), ..Write::default() },
-            Write { number: 2, entries: entries(4..9, 2), hard: hard(2, 3), ..Write::default() },
-            Write { number: 3, hard: hard(3, 8), ..Write::default() },
+            Write { number: 1, hard_state: hard_state(1, 1), entries: entries(2..6, 1), ..Write::default() },
+            Write { number: 2, entries: entries(4..9, 2), hard_state: hard_state(2, 3), ..Write::default() },
+            Write { number: 3, hard_state: hard_state(3, 8), ..Write::default() },
             Write {
                 number: 4,
                 cut: Some(3),
-                snapshot: founding().snapshot.map(|(_, s)| (1, s)),
+                snapshot: initial().snapshot.map(|(_, s)| (1, s)),
                 ..Write::default()
             },
         ]
@@ -419,7 +419,7 @@
 
     fn saved_at(path: &Path) -> Option<Saved> {
         match Store::open(path) {
-            Opened::Sound(_, saved) => Some(saved),
+            Opened::Intact(_, saved) => Some(saved),
             _ => None,
         }
     }
@@ -427,15 +427,15 @@
     #[test]
     fn a_reopened_store_contains_all_writes() {
         let dir = TempDir::new("kept");
-        let mut expected = founding();
+        let mut expected = initial();
         let mut store = Store::create(&dir.file(), &expected).expect("made");
         assert!(matches!(Store::create(&dir.file(), &expected), Err(StoreError::Exists(_))));
         for write in writes().into_iter().take(3) {
-            store.keep(&write).expect("kept");
-            expected.put(&write);
+            store.write(&write).expect("kept");
+            expected.apply(&write);
             drop(store);
             store = match Store::open(&dir.file()) {
-                Opened::Sound(store, saved) => {
+                Opened::Intact(store, saved) => {
                     assert_eq!(saved, expected);
                     store
                 }
@@ -449,10 +449,10 @@
         let dir = TempDir::new("missing");
         assert!(matches!(Store::open(&dir.file()), Opened::Missing));
         std::fs::write(dir.file(), b"").expect("written");
-        assert!(!matches!(Store::open(&dir.file()), Opened::Sound(..)));
+        assert!(!matches!(Store::open(&dir.file()), Opened::Intact(..)));
         std::fs::write(dir.file(), vec![0x5a; 70_000]).expect("written");
         assert!(matches!(Store::open(&dir.file()), Opened::Damaged(_)));
-        let aside = Store::set_aside(&dir.file()).expect("moved");
+        let aside = Store::move_aside(&dir.file()).expect("moved");
         assert!(aside.exists() && !dir.file().exists());
     }
 
@@ -461,9 +461,9 @@
     #[test]
     fn flipped_bits_and_truncation_never_change_what_is_read() {
         let dir = TempDir::new("flipped");
-        let store = Store::create(&dir.file(), &founding()).expect("made");
+        let store = Store::create(&dir.file(), &initial()).expect("made");
         for write in writes().iter().take(3) {
-            store.keep(write).expect("kept");
+            store.write(write).expect("kept");
         }
         drop(store);
         let good = std::fs::read(dir.file()).expect("read");
@@ -490,40 +490,40 @@
     #[test]
     fn a_store_that_is_open_elsewhere_is_unavailable_not_damaged() {
         let dir = TempDir::new("busy");
-        let store = Store::create(&dir.file(), &founding()).expect("made");
+        let store = Store::create(&dir.file(), &initial()).expect("made");
         assert!(matches!(Store::open(&dir.file()), Opened::Unavailable(_)));
         drop(store);
-        assert!(matches!(Store::open(&dir.file()), Opened::Sound(..)));
+        assert!(matches!(Store::open(&dir.file()), Opened::Intact(..)));
     }
 
     #[test]
     fn a_renewed_store_has_the_same_contents_and_leftover_temporary_files_are_replaced() {
         let dir = TempDir::new("renewed");
         std::fs::write(temporary_path(&dir.file()), b"half").expect("written");
-        let store = Store::create(&dir.file(), &founding()).expect("made");
+        let store = Store::create(&dir.file(), &initial()).expect("made");
         for write in writes().iter().take(3) {
-            store.keep(write).expect("kept");
+            store.write(write).expect("kept");
         }
-        assert!(matches!(Store::renew(&dir.file()), Opened::Unavailable(_)), "it is still open");
+        assert!(matches!(Store::rewrite(&dir.file()), Opened::Unavailable(_)), "it is still open");
         drop(store);
         let before = saved_at(&dir.file()).expect("sound");
-        let Opened::Sound(renewed, saved) = Store::renew(&dir.file()) else { panic!("not renewed") };
+        let Opened::Intact(renewed, saved) = Store::rewrite(&dir.file()) else { panic!("not renewed") };
         assert_eq!(saved, before);
-        renewed.keep(&Write { number: 1, hard: hard(4, 8), ..Write::default() }).expect("kept");
+        renewed.write(&Write { number: 1, hard_state: hard_state(4, 8), ..Write::default() }).expect("kept");
         drop(renewed);
         let after = saved_at(&dir.file()).expect("sound");
-        assert_eq!(after, Saved { hard: hard(4, 8), ..before });
+        assert_eq!(after, Saved { hard_state: hard_state(4, 8), ..before });
         assert!(!temporary_path(&dir.file()).exists());
     }
 
     #[test]
     fn the_writer_thread_acknowledges_writes_in_order() {
         let dir = TempDir::new("thread");
-        let store = Store::create(&dir.file(), &founding()).expect("made");
+        let store = Store::create(&dir.file(), &initial()).expect("made");
         let (sender, results) = std::sync::mpsc::channel();
         let writer = StoreWriter::start(store, move |kept| drop(sender.send(kept))).expect("a thread");
         for write in writes().into_iter().take(3) {
-            writer.keep(write).expect("handed over");
+            writer.write(write).expect("handed over");
         }
         let numbers: Vec<u64> = (0..3).map(|_| results.recv().expect("sent").expect("kept")).collect();
         assert_eq!(numbers, [1, 2, 3]);
--- a/crates/sandgap-agree/src/voter/lead.rs
+++ b/crates/sandgap-agree/src/voter/lead.rs
@@ -120,7 +120,7 @@
         let Some(successor) = self.machine.lives().enrolled().get(&successor).filter(|_| self.leads()) else {
             return;
         };
-        out.push(Action::Note(format!("lives: '{}' is the heir to life {life}", successor.name)));
+        out.push(Action::Log(format!("lives: '{}' is the heir to life {life}", successor.name)));
         out.push(Action::Send(successor.name.clone(), Message::BecameSuccessor));
     }
 
--- a/crates/sandgap-agree/src/voter/mod.rs
+++ b/crates/sandgap-agree/src/voter/mod.rs
@@ -59,7 +59,7 @@
     /// The version in force or the pending one has changed: notify the clients of this voter.
     RulesState,
     /// Log a message.
-    Note(String),
+    Log(String),
 }
 
 /// A replica of the log, see the module.
@@ -158,7 +158,7 @@
             ..Config::default()
         };
         let node = RawNode::new(&config, log, &discard_logger())
-            .map_err(|_| Damaged::Broken("the raft state is inconsistent"))?;
+            .map_err(|_| Damaged::Corrupt("the raft state is inconsistent"))?;
         let mut voter = Voter {
             seat: saved.seat,
             name: name.to_owned(),
@@ -543,17 +543,17 @@
         let entries = ready.take_entries();
         write.entries = entries.iter().map(|e| (e.index, encode_proto(e))).collect();
         self.node.mut_store().append(&entries);
-        if let Some(hard) = ready.hs().cloned() {
+        if let Some(hard_state) = ready.hs().cloned() {
             // A change of the commit index alone need not be persisted: it is learned again after a restart.
-            write.hard = ready.must_sync().then(|| encode_proto(&hard));
-            self.node.mut_store().set_hard(hard);
+            write.hard_state = ready.must_sync().then(|| encode_proto(&hard_state));
+            self.node.mut_store().set_hard_state(hard_state);
         }
         for read in ready.take_read_states() {
             self.confirm_rounds(&read.request_ctx, read.index);
         }
         let committed = ready.take_committed_entries();
         let persisted = ready.take_persisted_messages();
-        let syncs = write.hard.is_some() || !write.entries.is_empty() || write.snapshot.is_some();
+        let syncs = write.hard_state.is_some() || !write.entries.is_empty() || write.snapshot.is_some();
         self.node.advance_append_async(ready);
         if syncs {
             self.unacked_writes.push_back((number, now));
@@ -651,7 +651,7 @@
             out.push(Action::Send(who, Message::Published(id, verdict.clone())));
         }
         if let Verdict::Pending(version) = verdict {
-            out.push(Action::Note(format!("rules: version {version} is put forward")));
+            out.push(Action::Log(format!("rules: version {version} is put forward")));
         }
     }
 
@@ -703,7 +703,7 @@
     /// others'.
     fn halt_with_error(&mut self, why: &str, out: &mut Vec<Action>) {
         self.halted = true;
-        out.push(Action::Note(format!("{why}; until then this voter takes no part")));
+        out.push(Action::Log(format!("{why}; until then this voter takes no part")));
     }
 
     fn compact(&mut self, now: Time, out: &mut Vec<Action>) {
--- a/crates/sandgap-lab/src/agree/host.rs
+++ b/crates/sandgap-lab/src/agree/host.rs
@@ -83,9 +83,9 @@
         self.deferred.clear();
         let local = self.clock.local(now);
         let mut agent = Agent::new(local, &self.name, timing, voters, random);
-        agent.enlist(None);
+        agent.enrol(None);
         if !with_disk && self.disk.is_some() {
-            self.disk = Some(Saved::blank(random.max(1)));
+            self.disk = Some(Saved::empty(random.max(1)));
         }
         let votes = match &self.disk {
             Some(saved) => agent.vote(local, saved, Riders::none(), self.address),
@@ -130,7 +130,7 @@
     let seats: BTreeMap<u64, Seat> =
         voters.iter().map(|host| (new_seat_number(&host.name, 0), seat(host))).collect();
     for host in voters {
-        host.disk = Some(Saved::founding(new_seat_number(&host.name, 0), &seats));
+        host.disk = Some(Saved::initial(new_seat_number(&host.name, 0), &seats));
     }
 }
 
--- a/crates/sandgap-lab/src/agree/simulation.rs
+++ b/crates/sandgap-lab/src/agree/simulation.rs
@@ -184,13 +184,13 @@
             Event::UpdateMembers => self.update_members(),
             Event::Settled { node, incarnation, epoch } => {
                 if self.nodes[node].host.incarnation == incarnation {
-                    self.with(node, |agent, now| agent.settled(now, epoch));
+                    self.with(node, |agent, now| agent.report_settled(now, epoch));
                 }
             }
             Event::Missed(node, gone) => {
                 if self.nodes[gone].agent.is_none() && !self.nodes[node].host.paused {
                     let name = self.nodes[gone].host.name.clone();
-                    self.with(node, |agent, now| agent.missed(now, &name));
+                    self.with(node, |agent, now| agent.report_unreachable(now, &name));
                 }
             }
         }
@@ -251,7 +251,7 @@
             self.nodes[to].host.deferred.push_back(Event::Message { to, from, message });
             return;
         }
-        self.with(to, |agent, now| agent.hear(now, &from, message));
+        self.with(to, |agent, now| agent.receive(now, &from, message));
     }
 
     fn written(&mut self, n: usize, incarnation: u32, write: Write) {
@@ -262,7 +262,7 @@
         if self.setup.flaw != Some(Flaw::Unsynced)
             && let Some(disk) = &mut self.nodes[n].host.disk
         {
-            disk.put(&write);
+            disk.apply(&write);
         }
         if self.nodes[n].host.paused {
             // The disk goes on while the process is paused; the process learns of the write when it resumes.
@@ -302,7 +302,7 @@
 
     fn carry_out(&mut self, n: usize, output: Output) {
         match output {
-            Output::Say(to, _, message) => self.send(n, &to, message),
+            Output::Send(to, _, message) => self.send(n, &to, message),
             Output::Write(write) => self.write(n, write),
             Output::Check(version, book) => {
                 let usable = match self.nodes[n].unusable.contains(&book.limits.max_attempts) {
@@ -318,8 +318,8 @@
                 let name = digest(&book.encode().unwrap_or_default());
                 self.checker.record_content(version, name, &book);
             }
-            Output::Turn(EnrolmentEvent::BecameSuccessor(succession)) => self.succeed(n, &succession),
-            Output::Turn(_) | Output::Told(..) | Output::Note(_) => {}
+            Output::Enrolment(EnrolmentEvent::BecameSuccessor(succession)) => self.succeed(n, &succession),
+            Output::Enrolment(_) | Output::RiderMessages(..) | Output::Log(_) => {}
         }
     }
 
@@ -366,7 +366,7 @@
             if late < 25 * MS
                 && let Some(disk) = &mut self.nodes[n].host.disk
             {
-                disk.put(&write);
+                disk.apply(&write);
             }
             return;
         }
@@ -469,7 +469,7 @@
         for node in &mut self.nodes {
             let others = up.iter().filter(|name| **name != node.host.name).cloned().collect();
             if let Some(agent) = &mut node.agent {
-                agent.present(others);
+                agent.set_peers(others);
             }
         }
     }
--- a/crates/sandgap-lab/src/takeover/simulation.rs
+++ b/crates/sandgap-lab/src/takeover/simulation.rs
@@ -207,7 +207,9 @@
             return self.nodes[n].host.deferred.push_back(event);
         }
         match event {
-            Event::Message { to, from, message } => self.with(to, |p, now| p.agent.hear(now, &from, message)),
+            Event::Message { to, from, message } => {
+                self.with(to, |p, now| p.agent.receive(now, &from, message))
+            }
             Event::TakeoverMessage { to, message } => self.receive(to, message),
             Event::Timer { node, incarnation } => self.timer(node, incarnation),
             Event::Written { node, incarnation, write } => self.written(node, incarnation, write),
@@ -218,7 +220,7 @@
             Event::Missed(node, gone) => {
                 if self.nodes[gone].process.is_none() && !self.nodes[node].host.paused {
                     let name = self.nodes[gone].host.name.clone();
-                    self.with(node, |p, now| p.agent.missed(now, &name));
+                    self.with(node, |p, now| p.agent.report_unreachable(now, &name));
                 }
             }
             Event::NewRequest => self.new_request(),
@@ -326,7 +328,7 @@
 
     fn carry_out(&mut self, n: usize, output: AgentOutput) {
         match output {
-            AgentOutput::Say(to, _, message) => {
+            AgentOutput::Send(to, _, message) => {
                 for (to, at) in self.arrivals(n, &to) {
                     let (from, message) = (self.nodes[n].host.name.clone(), message.clone());
                     self.events.push(at, Event::Message { to, from, message });
@@ -337,13 +339,16 @@
                 let (at, incarnation) = (node.host.queue_write(now, &mut self.rng), node.host.incarnation);
                 self.events.push(at, Event::Written { node: n, incarnation, write });
             }
-            AgentOutput::Turn(turn) => {
+            AgentOutput::Enrolment(turn) => {
                 let local = self.nodes[n].host.clock.local(self.now());
                 if let Some(process) = &mut self.nodes[n].process {
                     process.hands.turn(local, turn);
                 }
             }
-            AgentOutput::Check(..) | AgentOutput::Act(..) | AgentOutput::Told(..) | AgentOutput::Note(_) => {}
+            AgentOutput::Check(..)
+            | AgentOutput::Act(..)
+            | AgentOutput::RiderMessages(..)
+            | AgentOutput::Log(_) => {}
         }
     }
 
@@ -363,7 +368,7 @@
                     proxy.resume(local, *begun, *index, hands, &mut actions);
                 }
             }
-            Output::Settled(epoch) => agent.settled(local, epoch),
+            Output::Settled(epoch) => agent.report_settled(local, epoch),
             Output::Over(_) => proxy.drop_all(&mut actions),
             Output::Note(_) => {}
         }
@@ -407,7 +412,7 @@
         }
         let number = write.number;
         if let Some(disk) = &mut self.nodes[n].host.disk {
-            disk.put(&write);
+            disk.apply(&write);
         }
         if self.nodes[n].host.paused {
             let write = Write { number, ..Write::default() };
@@ -444,7 +449,7 @@
         for node in &mut self.nodes {
             let others = up.iter().filter(|name| **name != node.host.name).cloned().collect();
             if let Some(process) = &mut node.process {
-                process.agent.present(others);
+                process.agent.set_peers(others);
             }
         }
     }
--- a/crates/sandgap-rig/src/scale/hollow.rs
+++ b/crates/sandgap-rig/src/scale/hollow.rs
@@ -221,7 +221,7 @@
         self.send_gossip(gossip);
         if self.agent.next_due() <= at {
             let others = self.members.present().into_iter().map(|m| m.name);
-            self.agent.present(others.filter(|name| *name != self.name).collect());
+            self.agent.set_peers(others.filter(|name| *name != self.name).collect());
             self.agent.fire(at);
         }
         self.handle_outputs();
@@ -242,7 +242,7 @@
             RULES_CHANNEL => {
                 let Some(message) = Message::decode(&body) else { return };
                 self.count_received(&message, body.len());
-                self.agent.hear(now(), &from, message);
+                self.agent.receive(now(), &from, message);
                 self.handle_outputs();
             }
             _ => {}
@@ -283,10 +283,10 @@
     fn handle_outputs(&mut self) {
         while let Some(output) = self.agent.poll() {
             match output {
-                Output::Say(to, address, message) => self.send(&to, address, &message),
+                Output::Send(to, address, message) => self.send(&to, address, &message),
                 Output::Check(version, _) => self.agent.checked(now(), version, Ok(())),
                 Output::Act(version, _) => self.record_acting(version),
-                Output::Write(_) | Output::Turn(_) | Output::Told(_) | Output::Note(_) => {}
+                Output::Write(_) | Output::Enrolment(_) | Output::RiderMessages(_) | Output::Log(_) => {}
             }
         }
     }
--- a/crates/sandgap/src/rules/commands.rs
+++ b/crates/sandgap/src/rules/commands.rs
@@ -269,7 +269,7 @@
         .iter()
         .map(|(name, address)| (new_seat_number(name, 0), Seat { name: name.clone(), address: *address }))
         .collect();
-    let saved = Saved::founding(new_seat_number(&fleet.name, 0), &seats);
+    let saved = Saved::initial(new_seat_number(&fleet.name, 0), &seats);
     Store::create(path, &saved).map_err(|e| CallError::Invalid(e.to_string()))?;
     let names: Vec<&str> = fleet.voters.iter().map(|(name, _)| name.as_str()).collect();
     println!("{}: created; the voters are {}", path.display(), names.join(", "));
@@ -279,7 +279,7 @@
 fn last_resort(fleet: &Fleet, sure: bool) -> Result<()> {
     let path = voter_store_path(fleet)?;
     let saved = match Store::open(path) {
-        Opened::Sound(_, saved) => saved,
+        Opened::Intact(_, saved) => saved,
         Opened::Missing => return Err(CallError::Invalid(format!("{}: there is no store", path.display()))),
         Opened::Damaged(why) | Opened::Unavailable(why) => {
             return Err(CallError::Invalid(format!("{}: {why}", path.display())));
@@ -299,8 +299,8 @@
             return Err(CallError::Rejected("nothing was changed".into()));
         }
     }
-    let alone = saved.alone(riders()).map_err(|e| CallError::Invalid(e.to_string()))?;
-    let aside = Store::replace(path, &alone).map_err(|e| CallError::Invalid(e.to_string()))?;
+    let recovered = saved.recover_as_sole_voter(riders()).map_err(|e| CallError::Invalid(e.to_string()))?;
+    let aside = Store::replace(path, &recovered).map_err(|e| CallError::Invalid(e.to_string()))?;
     println!(
         "{}: now the store of a fleet with one voter; the old store is {}. Start this proxy, then add other voters \
          with 'sandgap fleet voters add'; they start without a store",
--- a/crates/sandgap/src/rules/mod.rs
+++ b/crates/sandgap/src/rules/mod.rs
@@ -96,7 +96,7 @@
     /// How long the client should wait: the lease has lapsed or there is no version yet, and the class is refused then.
     pub fn admit(self: &Rc<Self>, class: &str) -> Result<Admission, Duration> {
         let agent = self.agent();
-        let leased = agent.borrow().take(now()).map(|taking| taking.version);
+        let leased = agent.borrow().take(now()).map(|permission| permission.version);
         let serves = self.serve_without_lease.borrow().contains(class);
         let version = match leased {
             Some(version) => version,
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -134,7 +134,7 @@
     /// Opens the voter's store. A missing or damaged store is replaced by a blank one with a new seat.
     fn open_voter_store(&mut self, path: &Path) -> Result<(), String> {
         let (store, saved) = match Store::open(path) {
-            Opened::Sound(store, saved) => (store, saved),
+            Opened::Intact(store, saved) => (store, saved),
             Opened::Unavailable(why) => return Err(format!("{}: {why}", path.display())),
             Opened::Missing => {
                 note!(warn:
@@ -144,7 +144,7 @@
                 create_blank_store(path)?
             }
             Opened::Damaged(why) => {
-                let aside = Store::set_aside(path).map_err(|e| e.to_string())?;
+                let aside = Store::move_aside(path).map_err(|e| e.to_string())?;
                 note!(error:
                     "{}: {why}; moved to {}. This voter takes no part until the others have rebuilt it",
                     path.display(), aside.display()
@@ -223,7 +223,7 @@
             let others = self.members.present().into_iter().map(|m| m.name);
             let others = others.filter(|name| *name != self.fleet.name).collect();
             let mut agent = self.agent.borrow_mut();
-            agent.present(others);
+            agent.set_peers(others);
             agent.fire(at);
         }
         self.process_outputs();
@@ -238,7 +238,7 @@
             }
             RULES_CHANNEL => {
                 if let Some(message) = Message::decode(&body) {
-                    self.agent.borrow_mut().hear(now(), &from, message);
+                    self.agent.borrow_mut().receive(now(), &from, message);
                     self.process_outputs();
                 }
             }
@@ -283,7 +283,7 @@
             let output = self.agent.borrow_mut().poll();
             let Some(output) = output else { return };
             match output {
-                Output::Say(to, address, message) => {
+                Output::Send(to, address, message) => {
                     let known = address.or_else(|| self.members.find(&to).map(|m| m.address));
                     self.links.send(&to, self.dial_address(&to, known), RULES_CHANNEL, message.encode());
                 }
@@ -296,9 +296,9 @@
                     self.agent.borrow_mut().checked(now(), version, usable);
                 }
                 Output::Act(version, rules) => self.activate(version, &rules),
-                Output::Told(orders) => self.watch.apply_orders(&orders),
-                Output::Turn(_) => {} // the daemon does not use lives yet
-                Output::Note(text) => note!("{text}"),
+                Output::RiderMessages(orders) => self.watch.apply_orders(&orders),
+                Output::Enrolment(_) => {} // the daemon does not use lives yet
+                Output::Log(text) => note!("{text}"),
             }
         }
     }
@@ -391,13 +391,13 @@
     let agent = rules.agent();
     let leads = agent.borrow().voter().is_some_and(|v| v.leads());
     if leads {
-        agent.borrow_mut().retire(now());
+        agent.borrow_mut().hand_over_lead(now());
         sleep(RETIRE_WAIT).await;
     }
 }
 
 /// Creates a blank store with a new seat.
 fn create_blank_store(path: &Path) -> Result<(Store, Saved), String> {
-    let saved = Saved::blank(random_u64().max(1));
+    let saved = Saved::empty(random_u64().max(1));
     Ok((Store::create(path, &saved).map_err(|e| e.to_string())?, saved))
 }
--- a/crates/sandgap/src/rules/voter_disk.rs
+++ b/crates/sandgap/src/rules/voter_disk.rs
@@ -58,7 +58,7 @@
     /// If the disk has failed or is far behind: the voter must take no further part, and the store is reopened.
     pub fn write(&mut self, write: Write) -> Result<(), &'static str> {
         let writer = self.writer.as_ref().ok_or("it has failed")?;
-        writer.keep(write).inspect_err(|_| self.reopen())
+        writer.write(write).inspect_err(|_| self.reopen())
     }
 
     /// The next event.
@@ -112,8 +112,8 @@
     let mut logged: Option<Instant> = None;
     while !sender.is_closed() {
         std::thread::sleep(RETRY_DELAY);
-        let why = match Store::renew(path) {
-            Opened::Sound(store, saved) => {
+        let why = match Store::rewrite(path) {
+            Opened::Intact(store, saved) => {
                 let _ = sender.send(DiskMessage::Reopened(store, saved)); // the receiver is gone while the process ends
                 return;
             }
--- a/crates/sandgap/src/rules/watch.rs
+++ b/crates/sandgap/src/rules/watch.rs
@@ -79,11 +79,11 @@
     async fn report(self: Rc<Self>) {
         while self.has_orders() {
             if let Some(news) = self.observe().await {
-                self.agent.borrow_mut().tell(TAG, news.encode());
+                self.agent.borrow_mut().set_rider_message(TAG, news.encode());
             }
             sleep(REPORT_INTERVAL).await;
         }
-        self.agent.borrow_mut().tell(TAG, Vec::new());
+        self.agent.borrow_mut().set_rider_message(TAG, Vec::new());
         self.reporting.set(false);
     }
 
