--- a/crates/sandgap-rollout/src/bounds.rs
+++ b/crates/sandgap-rollout/src/bounds.rs
@@ -6,11 +6,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::target::{Labels, Side, Target};
+use crate::target::{Labels, Target, TargetKind};
 
 /// Scope over which a bound counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Per {
+pub enum Scope {
     /// The whole fleet.
     Fleet,
     /// Each zone separately.
@@ -23,7 +23,7 @@
 
 /// Number of targets that may be out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Most {
+pub enum Limit {
     /// An absolute number.
     Count(u32),
     /// Per mille of the known targets in the scope, rounded down.
@@ -41,33 +41,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Bound {
     /// Kind of process that it limits.
-    pub side: Side,
+    pub kind: TargetKind,
     /// Scope over which it counts.
-    pub per: Per,
+    pub scope: Scope,
     /// Number that may be out.
-    pub most: Most,
+    pub limit: Limit,
 }
 
 impl fmt::Display for Bound {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let side = match self.side {
-            Side::Proxy => "proxies",
-            Side::Backend => "backends",
+        let kind = match self.kind {
+            TargetKind::Proxy => "proxies",
+            TargetKind::Backend => "backends",
         };
-        let per = match self.per {
-            Per::Fleet => "of the fleet",
-            Per::Zone => "of each zone",
-            Per::Cell => "of each cell",
-            Per::Kind => "of each kind",
+        let scope = match self.scope {
+            Scope::Fleet => "of the fleet",
+            Scope::Zone => "of each zone",
+            Scope::Cell => "of each cell",
+            Scope::Kind => "of each kind",
         };
-        match self.most {
-            Most::Count(n) => write!(f, "{n} {side} {per}"),
-            Most::PerMille(n) => write!(f, "{}% of the {side} {per}", f64::from(n) / 10.0),
-            Most::Need { headroom, zone_lost } => {
+        match self.limit {
+            Limit::Count(n) => write!(f, "{n} {kind} {scope}"),
+            Limit::PerMille(n) => write!(f, "{}% of the {kind} {scope}", f64::from(n) / 10.0),
+            Limit::Need { headroom, zone_lost } => {
                 let lost = if zone_lost { " with the largest zone lost" } else { "" };
                 write!(
                     f,
-                    "{side} beyond those that hold the load and {}% more{lost}",
+                    "{kind} beyond those that hold the load and {}% more{lost}",
                     f64::from(headroom) / 10.0
                 )
             }
@@ -88,37 +88,37 @@
     fn from_str(text: &str) -> Result<Self, ParseBoundError> {
         let read = || {
             let mut parts = text.split(':');
-            let side = match parts.next()? {
-                "backend" => Side::Backend,
-                "proxy" => Side::Proxy,
+            let kind = match parts.next()? {
+                "backend" => TargetKind::Backend,
+                "proxy" => TargetKind::Proxy,
                 _ => return None,
             };
-            let per = match parts.next()? {
-                "fleet" => Per::Fleet,
-                "zone" => Per::Zone,
-                "cell" => Per::Cell,
-                "kind" => Per::Kind,
+            let scope = match parts.next()? {
+                "fleet" => Scope::Fleet,
+                "zone" => Scope::Zone,
+                "cell" => Scope::Cell,
+                "kind" => Scope::Kind,
                 _ => return None,
             };
             let per_mille = |text: &str| -> Option<u32> {
                 let part: f64 = text.strip_suffix('%')?.parse().ok()?;
                 (0.0..=1000.0).contains(&part).then_some((part * 10.0).round() as u32)
             };
-            let most = match parts.next()? {
+            let limit = match parts.next()? {
                 // Total capacity is a property of the whole fleet, so no smaller scope is accepted.
-                "need" if side == Side::Backend && per == Per::Fleet => {
+                "need" if kind == TargetKind::Backend && scope == Scope::Fleet => {
                     let headroom = per_mille(parts.next()?)?;
                     let zone_lost = match parts.next() {
                         None => false,
                         Some("zone-lost") => true,
                         Some(_) => return None,
                     };
-                    Most::Need { headroom, zone_lost }
+                    Limit::Need { headroom, zone_lost }
                 }
-                part if part.ends_with('%') => Most::PerMille(per_mille(part)?),
-                count => Most::Count(count.parse().ok()?),
+                part if part.ends_with('%') => Limit::PerMille(per_mille(part)?),
+                count => Limit::Count(count.parse().ok()?),
             };
-            parts.next().is_none().then_some(Bound { side, per, most })
+            parts.next().is_none().then_some(Bound { kind, scope, limit })
         };
         read().ok_or_else(|| ParseBoundError(text.to_owned()))
     }
@@ -136,7 +136,7 @@
 
 /// Reason why a bound does not allow a set of targets to go out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Against {
+pub enum BoundConflict {
     /// Too many targets would be out.
     #[error("{bound} may be out, and in {scope} {would} would be ({out}): wait until these are back")]
     Full {
@@ -182,60 +182,69 @@
     pub out: &'a BTreeSet<Target>,
 }
 
-fn scope(per: Per, labels: &Labels) -> String {
-    match per {
-        Per::Fleet => "the fleet".into(),
-        Per::Zone => labels.zone.as_ref().map_or("no zone".into(), |z| format!("zone {z}")),
-        Per::Cell => labels.cell.map_or("no cell".into(), |c| format!("cell {c}")),
-        Per::Kind => labels.kind.as_ref().map_or("no kind".into(), |k| format!("kind {k}")),
+fn name_of_scope(scope: Scope, labels: &Labels) -> String {
+    match scope {
+        Scope::Fleet => "the fleet".into(),
+        Scope::Zone => labels.zone.as_ref().map_or("no zone".into(), |z| format!("zone {z}")),
+        Scope::Cell => labels.cell.map_or("no cell".into(), |c| format!("cell {c}")),
+        Scope::Kind => labels.kind.as_ref().map_or("no kind".into(), |k| format!("kind {k}")),
     }
 }
 
 impl Fleet<'_> {
-    /// Checks whether a set may go out in addition to the targets that are out. A target of the set that is lost already
-    /// is not counted twice. It still has to fit the bound, because it may recover by itself and would then be out under
-    /// the permit.
+    /// Checks whether a set may go out in addition to the targets that are out. A target of the set that is lost
+    /// already is not counted twice. It still has to fit the bound, because it may recover by itself and would then be
+    /// out under the permit.
     ///
     /// # Errors
     /// The first bound that does not allow it.
     pub fn check_out(
         &self, set: &BTreeSet<Target>, bounds: &[Bound], evidence: Option<&Evidence>,
-    ) -> Result<(), Against> {
-        for bound in bounds.iter().filter(|b| set.iter().any(|t| t.side == b.side)) {
-            match bound.most {
-                Most::Need { headroom, zone_lost } => {
-                    self.check_capacity(set, evidence.ok_or(Against::Unmeasured)?, headroom, zone_lost)?;
+    ) -> Result<(), BoundConflict> {
+        for bound in bounds.iter().filter(|b| set.iter().any(|t| t.kind == b.kind)) {
+            match bound.limit {
+                Limit::Need { headroom, zone_lost } => {
+                    self.check_capacity(
+                        set,
+                        evidence.ok_or(BoundConflict::Unmeasured)?,
+                        headroom,
+                        zone_lost,
+                    )?;
                 }
-                Most::Count(_) | Most::PerMille(_) => self.check_count(set, bound)?,
+                Limit::Count(_) | Limit::PerMille(_) => self.check_count(set, bound)?,
             }
         }
         Ok(())
     }
 
-    fn check_count(&self, set: &BTreeSet<Target>, bound: &Bound) -> Result<(), Against> {
+    fn check_count(&self, set: &BTreeSet<Target>, bound: &Bound) -> Result<(), BoundConflict> {
         let no_labels = Labels::default();
         let labels = |t: &Target| self.known.get(t).unwrap_or(&no_labels);
-        let scopes: BTreeSet<String> =
-            set.iter().filter(|t| t.side == bound.side).map(|t| scope(bound.per, labels(t))).collect();
+        let scopes: BTreeSet<String> = set
+            .iter()
+            .filter(|t| t.kind == bound.kind)
+            .map(|t| name_of_scope(bound.scope, labels(t)))
+            .collect();
         for scope_name in scopes {
-            let here = |t: &&Target| t.side == bound.side && scope(bound.per, labels(t)) == scope_name;
+            let here =
+                |t: &&Target| t.kind == bound.kind && name_of_scope(bound.scope, labels(t)) == scope_name;
             let all = self.known.keys().filter(here).count();
-            let most = match bound.most {
-                Most::Count(n) => n as usize,
-                Most::PerMille(n) => all * n as usize / 1000,
-                Most::Need { .. } => usize::MAX,
+            let limit = match bound.limit {
+                Limit::Count(n) => n as usize,
+                Limit::PerMille(n) => all * n as usize / 1000,
+                Limit::Need { .. } => usize::MAX,
             };
             let asked = set.iter().filter(here).count();
             let out: Vec<&Target> = self.out.iter().filter(here).filter(|t| !set.contains(t)).collect();
-            if asked > most {
-                return Err(Against::Never { bound: bound.to_string(), scope: scope_name, asked });
+            if asked > limit {
+                return Err(BoundConflict::Never { bound: bound.to_string(), scope: scope_name, asked });
             }
             let would = asked + out.len();
-            if would > most {
+            if would > limit {
                 let names: Vec<String> = out.iter().take(5).map(ToString::to_string).collect();
                 let more = if out.len() > 5 { ", ..." } else { "" };
                 let out = format!("out: {}{more}", names.join(", "));
-                return Err(Against::Full { bound: bound.to_string(), scope: scope_name, would, out });
+                return Err(BoundConflict::Full { bound: bound.to_string(), scope: scope_name, would, out });
             }
         }
         Ok(())
@@ -244,8 +253,9 @@
     /// Checks that the remaining backends have the capacity for the load.
     fn check_capacity(
         &self, set: &BTreeSet<Target>, evidence: &Evidence, headroom: u32, zone_lost: bool,
-    ) -> Result<(), Against> {
-        let remains = |t: &&Target| t.side == Side::Backend && !self.out.contains(*t) && !set.contains(*t);
+    ) -> Result<(), BoundConflict> {
+        let remains =
+            |t: &&Target| t.kind == TargetKind::Backend && !self.out.contains(*t) && !set.contains(*t);
         let mut by_zone: BTreeMap<Option<&String>, u64> = BTreeMap::new();
         for target in self.known.keys().filter(remains) {
             let zone = self.known.get(target).and_then(|l| l.zone.as_ref());
@@ -256,7 +266,7 @@
         let needs = evidence.load.saturating_mul(1000 + u64::from(headroom)) / 1000;
         match all - lost >= needs {
             true => Ok(()),
-            false => Err(Against::Need { holds: (all - lost) / 1000, needs: needs.div_ceil(1000) }),
+            false => Err(BoundConflict::Need { holds: (all - lost) / 1000, needs: needs.div_ceil(1000) }),
         }
     }
 }
@@ -277,15 +287,15 @@
         names.iter().map(|n| Target::backend(&format!("b{n}"))).collect()
     }
 
-    fn bound(per: Per, most: Most) -> Bound {
-        Bound { side: Side::Backend, per, most }
+    fn bound(scope: Scope, limit: Limit) -> Bound {
+        Bound { kind: TargetKind::Backend, scope, limit }
     }
 
     #[test]
     fn counts_and_fractions_apply_to_each_scope_separately() {
         let (known, out) = (fleet(4), set(&[0]));
         let fleet = Fleet { known: &known, out: &out };
-        let zone = [bound(Per::Zone, Most::Count(1))];
+        let zone = [bound(Scope::Zone, Limit::Count(1))];
         assert!(fleet.check_out(&set(&[1]), &zone, None).is_ok(), "another zone");
         let full = fleet.check_out(&set(&[3]), &zone, None).expect_err("the same zone");
         assert!(full.to_string().contains("in zone a 2 would be (out: b0)"), "{full}");
@@ -293,31 +303,31 @@
             fleet.check_out(&set(&[0]), &zone, None).is_ok(),
             "it is out already, so the count stays the same"
         );
-        let (two, none) = (set(&[0, 3]), [bound(Per::Zone, Most::Count(1))]);
+        let (two, none) = (set(&[0, 3]), [bound(Scope::Zone, Limit::Count(1))]);
         let over_bound = Fleet { known: &known, out: &two };
         assert!(
             over_bound.check_out(&set(&[0]), &none, None).is_err(),
             "more are lost than the bound allows, so none may go out under a permit"
         );
         let never = fleet.check_out(&set(&[1, 4]), &zone, None).expect_err("two of one zone");
-        assert!(matches!(never, Against::Never { asked: 2, .. }));
-        let quarter = [bound(Per::Fleet, Most::PerMille(250))];
+        assert!(matches!(never, BoundConflict::Never { asked: 2, .. }));
+        let quarter = [bound(Scope::Fleet, Limit::PerMille(250))];
         assert!(fleet.check_out(&set(&[1, 2]), &quarter, None).is_ok(), "3 of 12");
         assert!(fleet.check_out(&set(&[1, 2, 3]), &quarter, None).is_err());
         assert!(
-            fleet.check_out(&set(&[1]), &[bound(Per::Fleet, Most::PerMille(80))], None).is_err(),
+            fleet.check_out(&set(&[1]), &[bound(Scope::Fleet, Limit::PerMille(80))], None).is_err(),
             "0.96 of one"
         );
     }
 
     #[test]
     fn valid_bounds_are_parsed_and_invalid_ones_rejected() {
-        let read = |text: &str| text.parse::<Bound>().map(|b| b.most);
-        assert_eq!(read("backend:zone:1"), Ok(Most::Count(1)));
-        assert_eq!(read("proxy:fleet:2.5%"), Ok(Most::PerMille(25)));
+        let read = |text: &str| text.parse::<Bound>().map(|b| b.limit);
+        assert_eq!(read("backend:zone:1"), Ok(Limit::Count(1)));
+        assert_eq!(read("proxy:fleet:2.5%"), Ok(Limit::PerMille(25)));
         assert_eq!(
             read("backend:fleet:need:25%:zone-lost"),
-            Ok(Most::Need { headroom: 250, zone_lost: true })
+            Ok(Limit::Need { headroom: 250, zone_lost: true })
         );
         for bad in [
             "",
@@ -338,7 +348,7 @@
     fn bounds_of_one_side_do_not_limit_the_other() {
         let (known, out) = (fleet(2), BTreeSet::new());
         let fleet = Fleet { known: &known, out: &out };
-        let none = [bound(Per::Fleet, Most::Count(0))];
+        let none = [bound(Scope::Fleet, Limit::Count(0))];
         assert!(fleet.check_out(&BTreeSet::from([Target::proxy("p1")]), &none, None).is_ok());
         assert!(fleet.check_out(&set(&[1]), &none, None).is_err());
     }
@@ -349,13 +359,13 @@
         let fleet = Fleet { known: &known, out: &out };
         let holds: BTreeMap<String, u64> = (0..6).map(|n| (format!("b{n}"), 10_000)).collect();
         let evidence = |load| Evidence { load, holds: holds.clone() };
-        let need = |zone_lost| [bound(Per::Fleet, Most::Need { headroom: 250, zone_lost })];
+        let need = |zone_lost| [bound(Scope::Fleet, Limit::Need { headroom: 250, zone_lost })];
         // Five are in service; taking one more out leaves four with a capacity of 40.
         assert!(fleet.check_out(&set(&[0]), &need(false), Some(&evidence(32_000))).is_ok());
         assert!(fleet.check_out(&set(&[0]), &need(false), Some(&evidence(32_001))).is_err());
         // The largest zone has 20 of these.
         assert!(fleet.check_out(&set(&[0]), &need(true), Some(&evidence(16_000))).is_ok());
         assert!(fleet.check_out(&set(&[0]), &need(true), Some(&evidence(16_100))).is_err());
-        assert_eq!(fleet.check_out(&set(&[0]), &need(false), None), Err(Against::Unmeasured));
+        assert_eq!(fleet.check_out(&set(&[0]), &need(false), None), Err(BoundConflict::Unmeasured));
     }
 }
--- a/crates/sandgap-rollout/src/controller.rs
+++ b/crates/sandgap-rollout/src/controller.rs
@@ -17,12 +17,12 @@
 use sandgap_fleet::Time;
 
 use crate::bounds::Evidence;
-use crate::carry::{TAG, encode};
-use crate::ledger::{Entry, Fence, Known, Ledger, Phase};
+use crate::ledger::{Entry, Fence, Ledger, Phase, TargetState};
 use crate::limits::{MAX_SEEN_CHANGES, MAX_TARGETS, REQUEST_END_GRACE, STABLE_TIME};
-use crate::news::News;
+use crate::messages::ProxyReport;
 use crate::release_controller::ReleaseController;
-use crate::target::{Labels, Side, Target};
+use crate::state_machine::{TAG, encode};
+use crate::target::{Labels, Target, TargetKind};
 
 /// Leader state that is not replicated. A new leader starts without it and collects all evidence again.
 #[derive(Debug, Default)]
@@ -56,14 +56,14 @@
     rules: Rc<Rulebook>,
     rules_version: Version,
     /// Proxies that may hold a lease, with their last report.
-    reports: BTreeMap<&'a String, News>,
+    reports: BTreeMap<&'a String, ProxyReport>,
 }
 
 /// Returns proxies that may hold a lease, with their last report.
-fn reports_of_live_proxies<'a>(view: &'a LeaderView<'a>) -> BTreeMap<&'a String, News> {
+fn reports_of_live_proxies<'a>(view: &'a LeaderView<'a>) -> BTreeMap<&'a String, ProxyReport> {
     let decode_report = |parts: &[(u8, Vec<u8>)]| {
         let own_part = parts.iter().find(|(tag, _)| *tag == TAG);
-        own_part.and_then(|(_, bytes)| News::decode(bytes)).unwrap_or_default()
+        own_part.and_then(|(_, bytes)| ProxyReport::decode(bytes)).unwrap_or_default()
     };
     view.live().map(|(name, known)| (name, decode_report(&known.report.rider_messages))).collect()
 }
@@ -110,7 +110,7 @@
                     Some(Entry::Drained { target: target.clone(), fence, version: context.rules_version })
                 }
                 Phase::Returning if self.waits_to_return(&context, target, fence).is_none() => {
-                    Some(Entry::Back { target: target.clone(), fence })
+                    Some(Entry::Restored { target: target.clone(), fence })
                 }
                 _ => None,
             };
@@ -127,7 +127,7 @@
         for (name, known) in view.members {
             self.last_heard.insert(name.clone(), known.at.max(view.led));
         }
-        for target in ledger.targets().keys().filter(|t| t.side == Side::Proxy) {
+        for target in ledger.targets().keys().filter(|t| t.kind == TargetKind::Proxy) {
             self.last_heard.entry(target.name.clone()).or_insert(view.led);
         }
         if self.last_heard.len() > MAX_TARGETS {
@@ -154,10 +154,10 @@
         let mut healthy: BTreeSet<Target> = context
             .reports
             .iter()
-            .filter(|(name, news)| !is_guest(name) && news.version > 0)
+            .filter(|(name, report)| !is_guest(name) && report.version > 0)
             .map(|(name, _)| Target::proxy(name))
             .collect();
-        let dialling: Vec<&News> = context.reports.values().filter(|n| n.dialled).collect();
+        let dialling: Vec<&ProxyReport> = context.reports.values().filter(|n| n.dialled).collect();
         for (target, _, draining) in context.backends() {
             let missed = dialling.iter().filter(|n| n.missed.contains(&target.name)).count();
             if !dialling.is_empty() && 2 * missed < dialling.len() && !draining {
@@ -179,12 +179,12 @@
     fn observe(&self, context: &Context) -> Option<Entry> {
         let now = context.view.now;
         let measured = context.reports.values().any(|n| n.dialled);
-        let mut changes: Vec<(Target, Option<Known>)> = Vec::new();
+        let mut changes: Vec<(Target, Option<TargetState>)> = Vec::new();
         let mut note = |target: Target, labels: Labels, lost: Option<bool>| {
             let old = context.ledger.targets().get(&target);
             // Without observations the known state stays; a new target counts as lost until it has been observed.
             let lost = lost.unwrap_or_else(|| old.is_none_or(|k| k.lost));
-            let known = Known { labels, lost };
+            let known = TargetState { labels, lost };
             if old != Some(&known) {
                 changes.push((target, Some(known)));
             }
@@ -204,22 +204,25 @@
             listed.insert(target.clone());
             note(target, labels, lost);
         }
-        for (name, news) in context.reports.iter().filter(|(name, _)| !is_guest(name)) {
+        for (name, report) in context.reports.iter().filter(|(name, _)| !is_guest(name)) {
             let target = Target::proxy(name);
             let lost = if self.is_healthy(now, &target) { Some(false) } else { None };
-            note(target, Labels { zone: news.zone.clone(), ..Labels::default() }, lost);
+            note(target, Labels { zone: report.zone.clone(), ..Labels::default() }, lost);
         }
-        let silent = |t: &&Target| t.side == Side::Proxy && !context.reports.contains_key(&t.name);
+        let silent = |t: &&Target| t.kind == TargetKind::Proxy && !context.reports.contains_key(&t.name);
         for (target, known) in context.ledger.targets().iter().filter(|(t, _)| silent(t)) {
             note(target.clone(), known.labels.clone(), Some(true));
         }
         if context.rules.backends.is_some() {
-            let gone =
-                context.ledger.targets().keys().filter(|t| t.side == Side::Backend && !listed.contains(*t));
+            let gone = context
+                .ledger
+                .targets()
+                .keys()
+                .filter(|t| t.kind == TargetKind::Backend && !listed.contains(*t));
             changes.extend(gone.map(|t| (t.clone(), None)));
         }
         changes.truncate(MAX_SEEN_CHANGES);
-        (!changes.is_empty()).then_some(Entry::Seen(changes))
+        (!changes.is_empty()).then_some(Entry::UpdateTargets(changes))
     }
 
     /// The next permit to grant, if any.
@@ -236,7 +239,7 @@
         let drains = |target: &Target| context.rules.drained.contains(&target.name);
         let in_force = |key: &(Target, Fence), used: bool| {
             let returning = out.get(key).map(|phase| *phase == Phase::Returning);
-            returning == Some(used) && (key.0.side == Side::Proxy || drains(&key.0) != used)
+            returning == Some(used) && (key.0.kind == TargetKind::Proxy || drains(&key.0) != used)
         };
         self.drained_version.retain(|key, _| in_force(key, false));
         self.used_version.retain(|key, _| in_force(key, true));
@@ -250,7 +253,8 @@
         }
         // Targets in use at all live proxies and healthy, without interruption since.
         let (now, reports) = (context.view.now, &context.reports);
-        let applied_everywhere = |version: &Version| reports.values().all(|news| news.version >= *version);
+        let applied_everywhere =
+            |version: &Version| reports.values().all(|report| report.version >= *version);
         let warming: Vec<(Target, Fence)> = self
             .used_version
             .iter()
@@ -265,18 +269,18 @@
 
     /// What a draining target waits for; `None` once it is drained.
     fn waits_to_drain(&self, context: &Context, target: &Target, fence: Fence) -> Option<String> {
-        match target.side {
-            Side::Backend => {
+        match target.kind {
+            TargetKind::Backend => {
                 let Some(since) = self.drained_version.get(&(target.clone(), fence)) else {
                     return Some("its drain to stand in the rules".into());
                 };
                 let blocker = |name: &String| self.may_still_send(context, name, &target.name, *since);
                 self.last_heard.keys().find_map(blocker)
             }
-            Side::Proxy => match context.reports.get(&target.name) {
-                Some(news) if news.out && news.open == 0 && news.held == 0 => None,
-                Some(news) if news.out => {
-                    Some(format!("{} requests that it has open", news.open.max(news.held)))
+            TargetKind::Proxy => match context.reports.get(&target.name) {
+                Some(report) if report.out && report.open == 0 && report.held == 0 => None,
+                Some(report) if report.out => {
+                    Some(format!("{} requests that it has open", report.open.max(report.held)))
                 }
                 Some(_) => Some("its word that it sends clients away".into()),
                 None => self.silent_proxy_is_idle(context, &target.name).err(),
@@ -289,8 +293,8 @@
         &self, context: &Context, proxy: &String, backend: &str, since: Version,
     ) -> Option<String> {
         match context.reports.get(proxy) {
-            Some(news) if news.version < since => Some(format!("{proxy} to act on version {since}")),
-            Some(news) => match news.held_at(backend) {
+            Some(report) if report.version < since => Some(format!("{proxy} to act on version {since}")),
+            Some(report) => match report.held_at(backend) {
                 Some(0) => None,
                 Some(n) => Some(format!("{n} requests of {proxy} that are under way there")),
                 None => Some(format!("{proxy} to say what it has there")),
@@ -324,7 +328,7 @@
         let Some(version) = self.used_version.get(&key) else {
             return Some("the rules to use it again".into());
         };
-        if target.side == Side::Proxy && context.reports.get(&target.name).is_none_or(|n| n.out) {
+        if target.kind == TargetKind::Proxy && context.reports.get(&target.name).is_none_or(|n| n.out) {
             return Some("the proxy to be heard, taking clients".into());
         }
         let Some(since) = self.warming_since.get(&key) else {
@@ -334,9 +338,11 @@
                 None => "being reached from most voters".into(),
             });
         };
-        let warm = match target.side {
-            Side::Backend => Duration::from_secs_f64(context.rules.limits.warm_ms.clamp(0.0, 1e7) / 1000.0),
-            Side::Proxy => Duration::ZERO,
+        let warm = match target.kind {
+            TargetKind::Backend => {
+                Duration::from_secs_f64(context.rules.limits.warm_ms.clamp(0.0, 1e7) / 1000.0)
+            }
+            TargetKind::Proxy => Duration::ZERO,
         };
         let until = *since + warm.max(STABLE_TIME);
         (context.view.now < until).then(|| "being warm".to_owned())
@@ -382,7 +388,7 @@
     let listed =
         |name: &str| context.rules.backends.as_ref().is_none_or(|all| all.iter().any(|b| b.name == name));
     let (mut drained, mut undrained) = (Vec::new(), Vec::new());
-    for (target, _, phase) in context.ledger.granted().filter(|(t, ..)| t.side == Side::Backend) {
+    for (target, _, phase) in context.ledger.granted().filter(|(t, ..)| t.kind == TargetKind::Backend) {
         match phase {
             Phase::Granted | Phase::Drained(_)
                 if listed(&target.name) && rules.drained.insert(target.name.clone()) =>
--- a/crates/sandgap-rollout/src/gate.rs
+++ b/crates/sandgap-rollout/src/gate.rs
@@ -1,13 +1,13 @@
 //! Sequential test of whether targets with a release fail more often than targets without it over the same time. The
 //! test may be evaluated at any time and any number of times.
 //!
-//! Two e-processes are updated with the attempts since the last look. One tests the hypothesis *the new version fails no
-//! more often than the old one*, the other *the new version fails more often by at least the margin*. Each is a
+//! Two e-processes are updated with the attempts since the last look. One tests the hypothesis *the new version fails
+//! no more often than the old one*, the other *the new version fails more often by at least the margin*. Each is a
 //! likelihood ratio of the rates observed so far to the closest rates that its hypothesis allows (the reverse
 //! information projection of a block of two samples: Turner, Ly and Grünwald, "Generic E-variables for exact sequential
 //! k-sample tests that allow for optional stopping", 2024, theorems 1 and 2). Under its hypothesis neither ever exceeds
-//! 1 / a with a probability above a (Ville's inequality), however often it is evaluated. So a release that is as good as
-//! the old version is halted with a probability of at most [`ErrorLimits::false_halt`], and one that is worse by the
+//! 1 / a with a probability above a (Ville's inequality), however often it is evaluated. So a release that is as good
+//! as the old version is halted with a probability of at most [`ErrorLimits::false_halt`], and one that is worse by the
 //! margin passes with a probability of at most [`ErrorLimits::false_pass`].
 //!
 //! A disturbance that affects both groups alike changes both rates but neither ratio. Few requests give no finding, and
@@ -17,24 +17,24 @@
 
 /// Attempts that have ended, and those of them that failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct AttemptCounts {
     /// Number of attempts that have ended.
     pub all: u64,
     /// Number of them that failed.
     pub failed: u64,
 }
 
-impl Ended {
+impl AttemptCounts {
     /// Difference to an earlier count; `None` if a counter is lower than before, for instance after a restart.
-    pub fn since(self, earlier: Ended) -> Option<Ended> {
+    pub fn since(self, earlier: AttemptCounts) -> Option<AttemptCounts> {
         let (all, failed) = (self.all.checked_sub(earlier.all)?, self.failed.checked_sub(earlier.failed)?);
-        Some(Ended { all, failed })
+        Some(AttemptCounts { all, failed })
     }
 
     /// Sum of both counts.
     #[must_use]
-    pub fn and(self, other: Ended) -> Ended {
-        Ended { all: self.all + other.all, failed: self.failed + other.failed }
+    pub fn plus(self, other: AttemptCounts) -> AttemptCounts {
+        AttemptCounts { all: self.all + other.all, failed: self.failed + other.failed }
     }
 
     /// Estimated failure rate, never 0 or 1 (Krichevsky-Trofimov estimator).
@@ -81,8 +81,8 @@
 /// State of the sequential test; see the module documentation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Gate {
-    old: Ended,
-    new: Ended,
+    old: AttemptCounts,
+    new: AttemptCounts,
     /// Log e-value against *the new version fails no more often than the old one*.
     log_e_worse: f64,
     /// Log e-value against *the new version fails more often by at least the margin*.
@@ -91,14 +91,14 @@
 
 impl Gate {
     /// Adds the attempts that ended since the last look, at targets without and with the release.
-    pub fn update(&mut self, limits: ErrorLimits, old: Ended, new: Ended) {
+    pub fn update(&mut self, limits: ErrorLimits, old: AttemptCounts, new: AttemptCounts) {
         if new.all > 0 && old.all > 0 {
             let (rate_old, rate_new) = (self.old.rate(), self.new.rate());
             self.log_e_worse += log_e_value(old, new, rate_old, rate_new, 0.0, rate_new > rate_old);
             let better = rate_new < rate_old + limits.margin;
             self.log_e_good += log_e_value(old, new, rate_old, rate_new, limits.margin, better);
         }
-        (self.old, self.new) = (self.old.and(old), self.new.and(new));
+        (self.old, self.new) = (self.old.plus(old), self.new.plus(new));
     }
 
     /// The finding at this point.
@@ -113,14 +113,16 @@
     }
 
     /// The counts so far: at targets without the release, and with it.
-    pub fn seen(&self) -> (Ended, Ended) {
+    pub fn seen(&self) -> (AttemptCounts, AttemptCounts) {
         (self.old, self.new)
     }
 }
 
-/// Log e-value of one block against *the new rate equals the old rate plus the margin*. It is 0 (no evidence) unless the
-/// rates observed so far lie on the tested side of that hypothesis.
-fn log_e_value(old: Ended, new: Ended, rate_old: f64, rate_new: f64, margin: f64, on_side: bool) -> f64 {
+/// Log e-value of one block against *the new rate equals the old rate plus the margin*. It is 0 (no evidence) unless
+/// the rates observed so far lie on the tested side of that hypothesis.
+fn log_e_value(
+    old: AttemptCounts, new: AttemptCounts, rate_old: f64, rate_new: f64, margin: f64, on_side: bool,
+) -> f64 {
     if !on_side {
         return 0.0;
     }
@@ -128,8 +130,8 @@
     old.ratio(rate_old, at) + new.ratio(rate_new, at + margin)
 }
 
-/// Finds the old rate for which the pair of rates a margin apart is closest to the two given rates, by the KL divergence
-/// of a block's two samples. The divergence is convex, so a ternary search finds the minimum.
+/// Finds the old rate for which the pair of rates a margin apart is closest to the two given rates, by the KL
+/// divergence of a block's two samples. The divergence is convex, so a ternary search finds the minimum.
 fn closest_rate(n_old: f64, n_new: f64, rate_old: f64, rate_new: f64, margin: f64) -> f64 {
     let divergence = |p: f64, q: f64| p * (p / q).ln() + (1.0 - p) * ((1.0 - p) / (1.0 - q)).ln();
     let cost = |at: f64| n_old * divergence(rate_old, at) + n_new * divergence(rate_new, at + margin);
@@ -147,8 +149,8 @@
 
     const LIMITS: ErrorLimits = ErrorLimits { false_halt: 0.001, false_pass: 0.05, margin: 0.01 };
 
-    fn draw_attempts(rng: &mut fastrand::Rng, all: u64, rate: f64) -> Ended {
-        Ended { all, failed: (0..all).filter(|_| rng.f64() < rate).count() as u64 }
+    fn draw_attempts(rng: &mut fastrand::Rng, all: u64, rate: f64) -> AttemptCounts {
+        AttemptCounts { all, failed: (0..all).filter(|_| rng.f64() < rate).count() as u64 }
     }
 
     /// Evaluates batch after batch until there is a finding; both rates may change together between looks.
@@ -202,13 +204,15 @@
         let runs: Vec<_> = (0..200).map(|s| simulate(s, 20, (3, 1), |_| (0.0, 0.0))).collect();
         assert_eq!(count(Finding::Open, &runs), 200);
         let mut gate = Gate::default();
-        (0..1000).for_each(|_| gate.update(LIMITS, Ended { all: 100, failed: 1 }, Ended::default()));
+        (0..1000).for_each(|_| {
+            gate.update(LIMITS, AttemptCounts { all: 100, failed: 1 }, AttemptCounts::default())
+        });
         assert_eq!(gate.finding(LIMITS), Finding::Open, "no requests reached released targets");
     }
 
     #[test]
     fn counts_that_were_reset_have_no_difference() {
-        let ended = |all, failed| Ended { all, failed };
+        let ended = |all, failed| AttemptCounts { all, failed };
         assert_eq!(ended(9, 2).since(ended(5, 1)), Some(ended(4, 1)));
         assert_eq!(ended(3, 0).since(ended(5, 0)), None);
     }
--- a/crates/sandgap-rollout/src/ledger.rs
+++ b/crates/sandgap-rollout/src/ledger.rs
@@ -13,20 +13,20 @@
 use sandgap_agree::{Rulebook, Version};
 use serde::{Deserialize, Serialize};
 
-use crate::bounds::{Against, Bound, Evidence, Fleet, Most};
-use crate::gate::Ended;
+use crate::bounds::{Bound, BoundConflict, Evidence, Fleet, Limit};
+use crate::gate::AttemptCounts;
 use crate::limits::{
     ENDED_PERMITS, MAX_BOUNDS, MAX_OVERTAKES, MAX_PERMIT_TARGETS, MAX_PERMITS, MAX_TARGETS, RECORD_LINES,
 };
 use crate::release::{Plan, Release, Stage};
-use crate::target::{Labels, Side, Target};
+use crate::target::{Labels, Target, TargetKind};
 
 /// Fencing token, incremented with each grant. A lower fence for a target belongs to a permit that has ended.
 pub type Fence = u64;
 
 /// A request to take a set of targets out, all of them or none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asking {
+pub struct PermitRequest {
     /// Request id chosen by the client; a duplicate with the same id has no further effect.
     pub id: u64,
     /// Name of the requester.
@@ -40,7 +40,7 @@
     /// Waits for targets held by another permit instead of being refused.
     pub waits: bool,
     /// Reason for bypassing all bounds, if it does; kept in a separate record that ordinary lines do not push out.
-    pub beyond: Option<String>,
+    pub bypass_reason: Option<String>,
     /// The release that this request belongs to; only a leader may set it.
     pub release: Option<u64>,
 }
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// By an operator: requests a permit to take targets out.
-    Ask(Asking),
+    RequestPermit(PermitRequest),
     /// By an operator: withdraws a permit; targets that are out under it are returned to service.
     Withdraw {
         /// Request id.
@@ -76,7 +76,7 @@
         by: String,
     },
     /// By an operator, or by a leader for the gate: halts a release; no further targets are taken out for it.
-    Hold {
+    HaltRelease {
         /// Id of the release.
         release: u64,
         /// Who requests this.
@@ -85,14 +85,14 @@
         why: String,
     },
     /// By an operator: resumes a halted release where it was halted.
-    GoOn {
+    ResumeRelease {
         /// Id of the release.
         release: u64,
         /// Who requests this.
         by: String,
     },
     /// By an operator, or by a leader if the plan allows it: rolls back all targets that run the release.
-    TurnBack {
+    RollBack {
         /// Id of the release.
         release: u64,
         /// Who requests this.
@@ -105,7 +105,7 @@
         /// The next stage.
         to: Stage,
         /// Observed attempts and failures: first of targets without the release, then of targets with it.
-        seen: Option<(Ended, Ended)>,
+        seen: Option<(AttemptCounts, AttemptCounts)>,
     },
     /// By an operator: stops all grants; targets that are not fully drained yet return to service.
     Halt {
@@ -136,7 +136,7 @@
         by: String,
     },
     /// By a leader: updates the known state of targets; `None` for a target that has left the fleet.
-    Seen(Vec<(Target, Option<Known>)>),
+    UpdateTargets(Vec<(Target, Option<TargetState>)>),
     /// By a leader: proposes to grant a waiting permit.
     Grant {
         /// Request id of the permit.
@@ -154,7 +154,7 @@
         version: Version,
     },
     /// By a leader: the target is back in service: reached by proxies, ready and past its slow start.
-    Back {
+    Restored {
         /// The target.
         target: Target,
         /// Fence of the grant.
@@ -164,7 +164,7 @@
 
 /// Known state of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct TargetState {
     /// Labels that determine the scopes of bounds.
     pub labels: Labels,
     /// The target is silent, has not been observed healthy yet, or was drained without a permit; it counts as out.
@@ -186,7 +186,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
     /// The request.
-    pub asking: Asking,
+    pub request: PermitRequest,
     /// Sequence number among all requests.
     pub order: u64,
     /// Number of later requests that were granted first.
@@ -234,7 +234,7 @@
     },
     /// A bound does not allow it.
     #[error("{0}")]
-    Against(#[from] Against),
+    BoundConflict(#[from] BoundConflict),
     /// Too many permits, or a leader's request that its release does not allow now.
     #[error("{MAX_PERMITS} permits are waiting or granted, which is the maximum: withdraw unneeded ones")]
     Full,
@@ -298,7 +298,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     bounds: Vec<Bound>,
-    targets: BTreeMap<Target, Known>,
+    targets: BTreeMap<Target, TargetState>,
     /// Permits by sequence number.
     permits: BTreeMap<u64, Permit>,
     last_order: u64,
@@ -324,7 +324,7 @@
     }
 
     /// All known targets.
-    pub fn targets(&self) -> &BTreeMap<Target, Known> {
+    pub fn targets(&self) -> &BTreeMap<Target, TargetState> {
         &self.targets
     }
 
@@ -376,7 +376,7 @@
 
     /// Whether a bound requires measured load and capacity.
     pub fn wants_evidence(&self) -> bool {
-        self.bounds.iter().any(|b| matches!(b.most, Most::Need { .. }))
+        self.bounds.iter().any(|b| matches!(b.limit, Limit::Need { .. }))
     }
 
     /// Checks whether a waiting permit could be granted now, given the targets that are out and the measurements.
@@ -384,53 +384,53 @@
     /// # Errors
     /// The first conflict that prevents the grant.
     pub fn check_grant(&self, permit: &Permit, evidence: Option<&Evidence>) -> Result<(), Refusal> {
-        if let Some(conflict) = self.conflicting_grant(&permit.asking.targets) {
+        if let Some(conflict) = self.conflicting_grant(&permit.request.targets) {
             return Err(conflict);
         }
-        if permit.asking.beyond.is_some() {
+        if permit.request.bypass_reason.is_some() {
             return Ok(());
         }
         let known = self.targets.iter().map(|(t, k)| (t.clone(), k.labels.clone())).collect();
         let out = self.out();
         let fleet = Fleet { known: &known, out: &out };
-        fleet.check_out(&permit.asking.targets, &self.bounds, evidence).map_err(Refusal::from)
+        fleet.check_out(&permit.request.targets, &self.bounds, evidence).map_err(Refusal::from)
     }
 
     /// Checks whether the bounds in force would allow a permit if no other target were out.
     ///
     /// # Errors
     /// The first bound that the permit can never satisfy.
-    fn fits_bounds_alone(&self, permit: &Permit) -> Result<(), Against> {
-        match permit.asking.beyond {
+    fn fits_bounds_alone(&self, permit: &Permit) -> Result<(), BoundConflict> {
+        match permit.request.bypass_reason {
             Some(_) => Ok(()),
-            None => self.set_fits_bounds_alone(&permit.asking.targets),
+            None => self.set_fits_bounds_alone(&permit.request.targets),
         }
     }
 
-    fn set_fits_bounds_alone(&self, targets: &BTreeSet<Target>) -> Result<(), Against> {
+    fn set_fits_bounds_alone(&self, targets: &BTreeSet<Target>) -> Result<(), BoundConflict> {
         let known = self.targets.iter().map(|(t, k)| (t.clone(), k.labels.clone())).collect();
         let static_bounds: Vec<Bound> =
-            self.bounds.iter().filter(|b| !matches!(b.most, Most::Need { .. })).copied().collect();
+            self.bounds.iter().filter(|b| !matches!(b.limit, Limit::Need { .. })).copied().collect();
         Fleet { known: &known, out: &BTreeSet::new() }.check_out(targets, &static_bounds, None)
     }
 
     /// The next permit to grant: the first in queue order that fits the bounds. A permit that has been overtaken too
-    /// often blocks later ones for targets of the same side, which prevents starvation.
+    /// often blocks later ones for targets of the same kind, which prevents starvation.
     pub fn next_grant(&self, evidence: Option<&Evidence>) -> Option<u64> {
         if self.halted.is_some() {
             return None;
         }
-        let mut blocked_sides: BTreeSet<Side> = BTreeSet::new();
+        let mut blocked_kinds: BTreeSet<TargetKind> = BTreeSet::new();
         for permit in self.queue().into_iter().filter(|p| self.release_allows_grant(p)) {
-            let sides: BTreeSet<Side> = permit.asking.targets.iter().map(|t| t.side).collect();
-            if !sides.is_disjoint(&blocked_sides) {
+            let kinds: BTreeSet<TargetKind> = permit.request.targets.iter().map(|t| t.kind).collect();
+            if !kinds.is_disjoint(&blocked_kinds) {
                 continue;
             }
             match self.check_grant(permit, evidence) {
-                Ok(()) => return Some(permit.asking.id),
+                Ok(()) => return Some(permit.request.id),
                 // A permit that can never fit the current bounds does not block others.
                 Err(_) if permit.overtaken >= MAX_OVERTAKES && self.fits_bounds_alone(permit).is_ok() => {
-                    blocked_sides.extend(sides)
+                    blocked_kinds.extend(kinds)
                 }
                 Err(_) => {}
             }
@@ -441,7 +441,8 @@
     /// Waiting permits in queue order: permits overtaken too often first, then by priority, then by age.
     fn queue(&self) -> Vec<&Permit> {
         let mut waiting: Vec<&Permit> = self.permits.values().filter(|p| p.grant.is_none()).collect();
-        waiting.sort_by_key(|p| (p.overtaken < MAX_OVERTAKES, std::cmp::Reverse(p.asking.priority), p.order));
+        waiting
+            .sort_by_key(|p| (p.overtaken < MAX_OVERTAKES, std::cmp::Reverse(p.request.priority), p.order));
         waiting
     }
 
@@ -449,7 +450,7 @@
         let permits = self.permits.values().filter_map(|p| Some((p, p.grant.as_ref()?)));
         permits.flat_map(|(p, (fence, phases))| phases.keys().map(move |t| (p, *fence, t))).find_map(
             |(p, fence, t)| {
-                let (holder, why) = (p.asking.holder.clone(), p.asking.why.clone());
+                let (holder, why) = (p.request.holder.clone(), p.request.why.clone());
                 targets.contains(t).then(|| Refusal::Held { target: t.clone(), fence, holder, why })
             },
         )
@@ -458,14 +459,14 @@
     /// Applies a committed entry.
     pub fn apply(&mut self, entry: Entry) -> Verdict {
         let verdict = match entry {
-            Entry::Ask(asking) => self.ask(asking),
+            Entry::RequestPermit(request) => self.request_permit(request),
             Entry::Withdraw { id, by } => self.withdraw(id, &by),
             Entry::Returned { target, fence, runs } => self.returned(&target, fence, runs),
             Entry::Plan(plan) => self.plan(*plan),
             Entry::Begin { release, by } => self.begin(release, &by),
-            Entry::Hold { release, by, why } => self.hold(release, &by, &why),
-            Entry::GoOn { release, by } => self.go_on(release, &by),
-            Entry::TurnBack { release, by } => self.turn_back(release, &by),
+            Entry::HaltRelease { release, by, why } => self.halt_release(release, &by, &why),
+            Entry::ResumeRelease { release, by } => self.resume_release(release, &by),
+            Entry::RollBack { release, by } => self.roll_back(release, &by),
             Entry::Advance { release, to, seen } => Ok(self.advance(release, to, seen)),
             Entry::Halt { by, why } => Ok(self.halt(truncate_text(&by), truncate_text(&why))),
             Entry::Resume { by } => {
@@ -476,66 +477,66 @@
             }
             Entry::Bounds { bounds, by, why } => self.set_bounds(bounds, &by, &why),
             Entry::Forget { proxy, by } => self.forget(&proxy, &by),
-            Entry::Seen(changes) => Ok(self.seen(changes)),
+            Entry::UpdateTargets(changes) => Ok(self.update_targets(changes)),
             Entry::Grant { id, evidence } => Ok(self.grant(id, evidence.as_ref())),
             Entry::Drained { target, fence, version } => Ok(self.drained(&target, fence, version)),
-            Entry::Back { target, fence } => Ok(self.back(&target, fence)),
+            Entry::Restored { target, fence } => Ok(self.restored(&target, fence)),
         };
         verdict.unwrap_or_else(Verdict::Refused)
     }
 
-    fn ask(&mut self, asking: Asking) -> Result<Verdict, Refusal> {
-        if let Some(verdict) = self.request_verdict(asking.id) {
+    fn request_permit(&mut self, request: PermitRequest) -> Result<Verdict, Refusal> {
+        if let Some(verdict) = self.request_verdict(request.id) {
             return Ok(verdict);
         }
-        match asking.targets.len() {
+        match request.targets.len() {
             0 => return Err(Refusal::Nothing),
             n if n > MAX_PERMIT_TARGETS => return Err(Refusal::Large(n)),
             _ => {}
         }
-        if let Some(unknown) = asking.targets.iter().find(|t| !self.targets.contains_key(t)) {
+        if let Some(unknown) = request.targets.iter().find(|t| !self.targets.contains_key(t)) {
             return Err(Refusal::Unknown(unknown.clone()));
         }
-        if let Some(conflict) = self.conflicting_grant(&asking.targets).filter(|_| !asking.waits) {
+        if let Some(conflict) = self.conflicting_grant(&request.targets).filter(|_| !request.waits) {
             return Err(conflict);
         }
         if self.permits.len() >= MAX_PERMITS {
             return Err(Refusal::Full);
         }
-        if let Some(release) = asking.release {
-            self.check_release_request(release, &asking.targets)?;
+        if let Some(release) = request.release {
+            self.check_release_request(release, &request.targets)?;
         }
         self.last_order += 1;
-        let (holder, why) = (truncate_text(&asking.holder), truncate_text(&asking.why));
-        let beyond = asking.beyond.as_deref().map(truncate_text);
-        let asking = Asking { holder, why, beyond, ..asking };
-        let permit = Permit { asking, order: self.last_order, overtaken: 0, grant: None };
+        let (holder, why) = (truncate_text(&request.holder), truncate_text(&request.why));
+        let bypass_reason = request.bypass_reason.as_deref().map(truncate_text);
+        let request = PermitRequest { holder, why, bypass_reason, ..request };
+        let permit = Permit { request, order: self.last_order, overtaken: 0, grant: None };
         self.fits_bounds_alone(&permit)?;
-        let id = permit.asking.id;
+        let id = permit.request.id;
         self.permits.insert(self.last_order, permit);
         Ok(self.request_verdict(id).unwrap_or(Verdict::Done))
     }
 
     /// Current verdict for a request id that was seen before.
     fn request_verdict(&self, id: u64) -> Option<Verdict> {
-        if let Some(permit) = self.permits.values().find(|p| p.asking.id == id) {
+        if let Some(permit) = self.permits.values().find(|p| p.request.id == id) {
             return Some(match &permit.grant {
                 Some((fence, _)) => Verdict::Granted(*fence),
-                None => Verdict::Waits(self.queue().iter().take_while(|p| p.asking.id != id).count()),
+                None => Verdict::Waits(self.queue().iter().take_while(|p| p.request.id != id).count()),
             });
         }
         self.ended.iter().find(|(ended_id, _)| *ended_id == id).map(|(_, fence)| Verdict::Ended(*fence))
     }
 
     fn withdraw(&mut self, id: u64, by: &str) -> Result<Verdict, Refusal> {
-        let order = self.permits.values().find(|p| p.asking.id == id).map(|p| p.order);
+        let order = self.permits.values().find(|p| p.request.id == id).map(|p| p.order);
         let Some(permit) = order.and_then(|order| self.permits.get_mut(&order)) else {
             return match self.request_verdict(id) {
                 Some(ended) => Ok(ended),
                 None => Err(Refusal::NoPermit(id)),
             };
         };
-        let text = format!("{} gives up what {} asked for", truncate_text(by), permit.asking.holder);
+        let text = format!("{} gives up what {} asked for", truncate_text(by), permit.request.holder);
         match &mut permit.grant {
             Some((_, phases)) => phases.values_mut().for_each(|phase| *phase = Phase::Returning),
             None => {
@@ -574,7 +575,7 @@
                 false => Err(Refusal::Stale { target: target.clone(), fence }),
             };
         };
-        if let (Some(release), None) = (permit.asking.release.and_then(|id| self.releases.get(&id)), &runs) {
+        if let (Some(release), None) = (permit.request.release.and_then(|id| self.releases.get(&id)), &runs) {
             return Err(Refusal::Runs { target: target.clone(), release: release.plan.name.clone() });
         }
         if let Some(runs) = runs {
@@ -628,7 +629,7 @@
         }
     }
 
-    fn seen(&mut self, changes: Vec<(Target, Option<Known>)>) -> Verdict {
+    fn update_targets(&mut self, changes: Vec<(Target, Option<TargetState>)>) -> Verdict {
         for (target, known) in changes {
             match known {
                 None => self.remove_target(&target),
@@ -656,12 +657,12 @@
             match &mut permit.grant {
                 Some((fence, phases)) => {
                     if phases.remove(target).is_some() && phases.is_empty() {
-                        ended.push((permit.order, permit.asking.id, *fence));
+                        ended.push((permit.order, permit.request.id, *fence));
                     }
                 }
                 None => {
-                    if permit.asking.targets.remove(target) && permit.asking.targets.is_empty() {
-                        ended.push((permit.order, permit.asking.id, 0));
+                    if permit.request.targets.remove(target) && permit.request.targets.is_empty() {
+                        ended.push((permit.order, permit.request.id, 0));
                     }
                 }
             }
@@ -678,7 +679,7 @@
             // The leader proposed it from an older state.
             return self.request_verdict(id).unwrap_or(Verdict::Done);
         }
-        let Some(order) = self.permits.values().find(|p| p.asking.id == id).map(|p| p.order) else {
+        let Some(order) = self.permits.values().find(|p| p.request.id == id).map(|p| p.order) else {
             return Verdict::Done;
         };
         // Counts one more overtaking for each earlier request that still waits.
@@ -688,19 +689,20 @@
         self.last_fence += 1;
         let fence = self.last_fence;
         let Some(permit) = self.permits.get_mut(&order) else { return Verdict::Done };
-        let targets = permit.asking.targets.iter().map(|t| (t.clone(), Phase::Granted)).collect();
+        let targets = permit.request.targets.iter().map(|t| (t.clone(), Phase::Granted)).collect();
         permit.grant = Some((fence, targets));
-        let names: Vec<String> = permit.asking.targets.iter().take(8).map(ToString::to_string).collect();
-        let more = if permit.asking.targets.len() > 8 { ", ..." } else { "" };
-        let asking = &permit.asking;
-        let bypass = asking.beyond.as_ref().map_or(String::new(), |b| format!(", past all bounds: {b}"));
+        let names: Vec<String> = permit.request.targets.iter().take(8).map(ToString::to_string).collect();
+        let more = if permit.request.targets.len() > 8 { ", ..." } else { "" };
+        let request = &permit.request;
+        let bypass =
+            request.bypass_reason.as_ref().map_or(String::new(), |b| format!(", past all bounds: {b}"));
         let text = format!(
             "permit {fence} of {} ({}): {}{more} out{bypass}",
-            asking.holder,
-            asking.why,
+            request.holder,
+            request.why,
             names.join(", ")
         );
-        let bypasses_bounds = asking.beyond.is_some();
+        let bypasses_bounds = request.bypass_reason.is_some();
         self.record_line(text, bypasses_bounds);
         Verdict::Granted(fence)
     }
@@ -712,7 +714,7 @@
         Verdict::Done
     }
 
-    fn back(&mut self, target: &Target, fence: Fence) -> Verdict {
+    fn restored(&mut self, target: &Target, fence: Fence) -> Verdict {
         if self.phase_mut(target, fence).is_some_and(|p| *p == Phase::Returning) {
             self.release_from_permits(target);
             if let Some(known) = self.targets.get_mut(target) {
@@ -745,7 +747,7 @@
                 ));
             }
         }
-        if !self.bounds.iter().any(|b| b.side == Side::Backend) {
+        if !self.bounds.iter().any(|b| b.kind == TargetKind::Backend) {
             return None;
         }
         for name in new.drained.difference(&old.drained) {
--- a/crates/sandgap-rollout/src/ledger/releases.rs
+++ b/crates/sandgap-rollout/src/ledger/releases.rs
@@ -5,7 +5,7 @@
 use sandgap_agree::limits::truncate_text;
 
 use super::{Entry, Fence, Ledger, Permit, Phase, Refusal, Verdict};
-use crate::gate::Ended;
+use crate::gate::AttemptCounts;
 use crate::limits::{MAX_PLAN_TARGETS, MAX_RELEASE_PERMITS, MAX_RELEASES, MAX_WAVES};
 use crate::release::{Plan, Release, Stage, hash_text};
 use crate::target::Target;
@@ -30,18 +30,18 @@
     }
 
     /// Targets of a release that run its new version.
-    pub fn released<'a>(&'a self, release: &'a Release) -> impl Iterator<Item = &'a Target> {
+    pub fn targets_running<'a>(&'a self, release: &'a Release) -> impl Iterator<Item = &'a Target> {
         release.plan.targets().filter(move |t| self.runs(release, t) == release.plan.to)
     }
 
     /// The permit of a release for a target, waiting or granted.
     pub fn permit_for(&self, release: u64, target: &Target) -> Option<&Permit> {
-        let of = |p: &&Permit| p.asking.release == Some(release) && p.asking.targets.contains(target);
+        let of = |p: &&Permit| p.request.release == Some(release) && p.request.targets.contains(target);
         self.permits.values().find(of)
     }
 
     /// Targets that a release still has to take out in its current stage and that have no permit yet.
-    pub fn due(&self, release: &Release) -> Vec<Target> {
+    pub fn targets_due(&self, release: &Release) -> Vec<Target> {
         let id = release.plan.id;
         let needs_permit = |t: &&Target| self.permit_for(id, t).is_none() && self.targets.contains_key(*t);
         match &release.stage {
@@ -52,8 +52,9 @@
                     .cloned()
                     .collect()
             }
-            Stage::GoingBack => {
-                let mut all: Vec<Target> = self.released(release).filter(needs_permit).cloned().collect();
+            Stage::RollingBack => {
+                let mut all: Vec<Target> =
+                    self.targets_running(release).filter(needs_permit).cloned().collect();
                 all.reverse();
                 all
             }
@@ -69,9 +70,9 @@
             Stage::Wave(k) => release.plan.waves.get(*k).into_iter().flatten().all(|t| {
                 !self.targets.contains_key(t) || settled(t) && self.runs(release, t) == release.plan.to
             }),
-            Stage::GoingBack => {
+            Stage::RollingBack => {
                 release.plan.targets().all(settled)
-                    && self.released(release).all(|t| !self.targets.contains_key(t))
+                    && self.targets_running(release).all(|t| !self.targets.contains_key(t))
             }
             _ => false,
         }
@@ -85,14 +86,14 @@
 
     /// Whether the stage of the permit's release allows the grant; true for permits without a release.
     pub(super) fn release_allows_grant(&self, permit: &Permit) -> bool {
-        let Some(id) = permit.asking.release else { return true };
+        let Some(id) = permit.request.release else { return true };
         self.releases.get(&id).is_some_and(|r| r.stage.takes_out())
     }
 
     /// Checks a leader's request for a release: one per target, and at most [`MAX_RELEASE_PERMITS`] in total.
     pub(super) fn check_release_request(&self, id: u64, targets: &BTreeSet<Target>) -> Result<(), Refusal> {
         let release = self.releases.get(&id).ok_or(Refusal::NoRelease)?;
-        let releasing = self.permits.values().filter(|p| p.asking.release.is_some()).count();
+        let releasing = self.permits.values().filter(|p| p.request.release.is_some()).count();
         let duplicate = targets.iter().any(|t| self.permit_for(id, t).is_some());
         match duplicate || releasing >= MAX_RELEASE_PERMITS || !release.stage.takes_out() {
             true => Err(Refusal::Full),
@@ -138,7 +139,7 @@
         if all.iter().collect::<BTreeSet<_>>().len() < all.len() {
             return invalid("a target stands in it twice: name each once".into());
         }
-        if all.iter().any(|t| t.side != all[0].side) {
+        if all.iter().any(|t| t.kind != all[0].kind) {
             return invalid("proxies and backends in one: plan them apart".into());
         }
         if let Some(unknown) = all.iter().find(|t| !self.targets.contains_key(t)) {
@@ -184,13 +185,13 @@
         Ok(Verdict::Done)
     }
 
-    pub(super) fn hold(&mut self, id: u64, by: &str, why: &str) -> Applied {
+    pub(super) fn halt_release(&mut self, id: u64, by: &str, why: &str) -> Applied {
         let (who, why) = (truncate_text(by), truncate_text(why));
         self.set_stage(id, |s| match s {
             Stage::Wave(wave) | Stage::Soaking(wave) => {
                 Some(Stage::Halted { by: who.clone(), why: why.clone(), wave: *wave, back: false })
             }
-            Stage::GoingBack => {
+            Stage::RollingBack => {
                 Some(Stage::Halted { by: who.clone(), why: why.clone(), wave: 0, back: true })
             }
             Stage::Halted { .. } => Some(s.clone()),
@@ -201,9 +202,9 @@
         Ok(Verdict::Done)
     }
 
-    pub(super) fn go_on(&mut self, id: u64, by: &str) -> Applied {
+    pub(super) fn resume_release(&mut self, id: u64, by: &str) -> Applied {
         self.set_stage(id, |s| match s {
-            Stage::Halted { back: true, .. } => Some(Stage::GoingBack),
+            Stage::Halted { back: true, .. } => Some(Stage::RollingBack),
             Stage::Halted { wave, .. } => Some(Stage::Wave(*wave)),
             _ => None,
         })?;
@@ -211,10 +212,10 @@
         Ok(Verdict::Done)
     }
 
-    pub(super) fn turn_back(&mut self, id: u64, by: &str) -> Applied {
+    pub(super) fn roll_back(&mut self, id: u64, by: &str) -> Applied {
         self.set_stage(id, |s| match s {
-            Stage::Planned | Stage::WentBack => None,
-            _ => Some(Stage::GoingBack),
+            Stage::Planned | Stage::RolledBack => None,
+            _ => Some(Stage::RollingBack),
         })?;
         self.return_undrained(id);
         self.record_stage(id, by);
@@ -225,9 +226,9 @@
     /// returned by their holder.
     fn return_undrained(&mut self, id: u64) {
         let (mut waiting, mut returning): (Vec<u64>, Vec<(Target, Fence)>) = Default::default();
-        for permit in self.permits.values().filter(|p| p.asking.release == Some(id)) {
+        for permit in self.permits.values().filter(|p| p.request.release == Some(id)) {
             match &permit.grant {
-                None => waiting.push(permit.asking.id),
+                None => waiting.push(permit.request.id),
                 Some((fence, all)) => {
                     let undrained = all.iter().filter(|(_, phase)| **phase == Phase::Granted);
                     returning.extend(undrained.map(|(t, _)| (t.clone(), *fence)));
@@ -246,14 +247,16 @@
 
     /// Applies a leader's proposal to advance a release, if it is a valid transition. The ledger checks what it knows
     /// itself; for the soak time and the gate it trusts the leader.
-    pub(super) fn advance(&mut self, id: u64, to: Stage, seen: Option<(Ended, Ended)>) -> Verdict {
+    pub(super) fn advance(
+        &mut self, id: u64, to: Stage, seen: Option<(AttemptCounts, AttemptCounts)>,
+    ) -> Verdict {
         let Some(release) = self.releases.get(&id) else { return Verdict::Done };
         let last = release.plan.waves.len() - 1;
         let follows = match (&release.stage, &to) {
             (Stage::Wave(k), Stage::Soaking(next)) => k == next && self.stage_complete(release),
             (Stage::Soaking(k), Stage::Wave(next)) => *next == k + 1 && *k < last,
             (Stage::Soaking(k), Stage::Done) => *k == last,
-            (Stage::GoingBack, Stage::WentBack) => self.stage_complete(release),
+            (Stage::RollingBack, Stage::RolledBack) => self.stage_complete(release),
             _ => false,
         };
         if follows && let Some(release) = self.releases.get_mut(&id) {
--- a/crates/sandgap-rollout/src/ledger/tests.rs
+++ b/crates/sandgap-rollout/src/ledger/tests.rs
@@ -1,25 +1,25 @@
 use super::*;
-use crate::bounds::Per;
+use crate::bounds::Scope;
 
 fn labels(zone: &str) -> Labels {
     Labels { zone: Some(zone.into()), ..Labels::default() }
 }
 
-fn known(zone: &str, lost: bool) -> Option<Known> {
-    Some(Known { labels: labels(zone), lost })
+fn known(zone: &str, lost: bool) -> Option<TargetState> {
+    Some(TargetState { labels: labels(zone), lost })
 }
 
 /// Healthy backends b0 to b5 in two zones, with a bound of at most `most` out in the fleet.
 fn ledger(most: u32) -> Ledger {
     let mut ledger = Ledger::default();
     let all = (0..6).map(|n| (b(n), known(["x", "y"][n % 2], false))).collect();
-    ledger.apply(Entry::Seen(all));
+    ledger.apply(Entry::UpdateTargets(all));
     bound(&mut ledger, most);
     ledger
 }
 
 fn bound(ledger: &mut Ledger, most: u32) {
-    let bounds = vec![Bound { side: Side::Backend, per: Per::Fleet, most: Most::Count(most) }];
+    let bounds = vec![Bound { kind: TargetKind::Backend, scope: Scope::Fleet, limit: Limit::Count(most) }];
     assert_eq!(ledger.apply(Entry::Bounds { bounds, by: "ops".into(), why: "test".into() }), Verdict::Done);
 }
 
@@ -27,22 +27,22 @@
     Target::backend(&format!("b{n}"))
 }
 
-fn asking(id: u64, targets: &[usize]) -> Asking {
+fn request(id: u64, targets: &[usize]) -> PermitRequest {
     let targets = targets.iter().map(|n| b(*n)).collect();
-    Asking {
+    PermitRequest {
         id,
         holder: format!("h{id}"),
         why: "w".into(),
         priority: 5,
         targets,
         waits: true,
-        beyond: None,
+        bypass_reason: None,
         release: None,
     }
 }
 
 fn ask(ledger: &mut Ledger, id: u64, targets: &[usize]) -> Verdict {
-    ledger.apply(Entry::Ask(asking(id, targets)))
+    ledger.apply(Entry::RequestPermit(request(id, targets)))
 }
 
 /// Grants all permits that are due; returns their request ids.
@@ -62,7 +62,7 @@
 fn bring_back(ledger: &mut Ledger, n: usize) {
     let fence = fence(ledger, n);
     assert_eq!(ledger.apply(Entry::Returned { target: b(n), fence, runs: None }), Verdict::Done);
-    ledger.apply(Entry::Back { target: b(n), fence });
+    ledger.apply(Entry::Restored { target: b(n), fence });
 }
 
 #[test]
@@ -81,10 +81,10 @@
 #[test]
 fn a_lost_target_counts_as_out_until_it_is_observed_healthy() {
     let mut l = ledger(2);
-    l.apply(Entry::Seen(vec![(b(5), known("y", true)), (b(4), known("x", true))]));
+    l.apply(Entry::UpdateTargets(vec![(b(5), known("y", true)), (b(4), known("x", true))]));
     ask(&mut l, 1, &[0]);
     assert!(grant_due(&mut l).is_empty());
-    l.apply(Entry::Seen(vec![(b(5), known("y", false))]));
+    l.apply(Entry::UpdateTargets(vec![(b(5), known("y", false))]));
     assert_eq!(grant_due(&mut l), [1]);
     ask(&mut l, 2, &[4]);
     assert_eq!(
@@ -104,7 +104,7 @@
     assert_eq!(l.out().len(), 2);
     assert!(matches!(
         ask(&mut l, 3, &[1, 2, 3, 4]),
-        Verdict::Refused(Refusal::Against(Against::Never { .. }))
+        Verdict::Refused(Refusal::BoundConflict(BoundConflict::Never { .. }))
     ));
     assert!(matches!(ask(&mut l, 4, &[9]), Verdict::Refused(Refusal::Unknown(_))));
     assert_eq!(ask(&mut l, 5, &[]), Verdict::Refused(Refusal::Nothing));
@@ -115,8 +115,8 @@
     let mut l = ledger(3);
     ask(&mut l, 1, &[0]);
     grant_due(&mut l);
-    let not_waiting = Asking { waits: false, ..asking(2, &[0, 1]) };
-    let Verdict::Refused(held) = l.apply(Entry::Ask(not_waiting)) else { panic!("refused") };
+    let not_waiting = PermitRequest { waits: false, ..request(2, &[0, 1]) };
+    let Verdict::Refused(held) = l.apply(Entry::RequestPermit(not_waiting)) else { panic!("refused") };
     assert!(held.to_string().contains("b0 is out under permit 1 of h1"), "{held}");
     assert_eq!(ask(&mut l, 3, &[0, 1]), Verdict::Waits(0));
     assert!(grant_due(&mut l).is_empty());
@@ -133,7 +133,10 @@
     ask(&mut l, 2, &[4, 5]);
     let mut overtakes = 0;
     for n in 0..20 {
-        l.apply(Entry::Ask(Asking { priority: 9, ..asking(10 + n, &[1 + n as usize % 2]) }));
+        l.apply(Entry::RequestPermit(PermitRequest {
+            priority: 9,
+            ..request(10 + n, &[1 + n as usize % 2])
+        }));
         let granted = grant_due(&mut l);
         if granted.contains(&2) {
             break;
@@ -186,7 +189,7 @@
     assert_eq!(l.apply(late), Verdict::Ended(1));
     let never = Entry::Returned { target: b(0), fence: 99, runs: None };
     assert!(matches!(l.apply(never), Verdict::Refused(Refusal::Stale { .. })));
-    l.apply(Entry::Back { target: b(0), fence: 1 });
+    l.apply(Entry::Restored { target: b(0), fence: 1 });
     assert_eq!(l.phase(&b(0)), Some((2, Phase::Granted)));
 }
 
@@ -205,7 +208,10 @@
 #[test]
 fn the_reason_for_bypassing_bounds_stays_in_the_record() {
     let mut l = ledger(0);
-    l.apply(Entry::Ask(Asking { beyond: Some("fire in the hall".into()), ..asking(1, &[0, 1]) }));
+    l.apply(Entry::RequestPermit(PermitRequest {
+        bypass_reason: Some("fire in the hall".into()),
+        ..request(1, &[0, 1])
+    }));
     assert_eq!(grant_due(&mut l), [1]);
     for n in 0..2 * RECORD_LINES as u64 {
         l.apply(Entry::Halt { by: "ops".into(), why: n.to_string() });
@@ -219,13 +225,13 @@
     let mut l = ledger(1);
     ask(&mut l, 1, &[0]);
     grant_due(&mut l);
-    l.apply(Entry::Seen(vec![(b(0), None)]));
+    l.apply(Entry::UpdateTargets(vec![(b(0), None)]));
     ask(&mut l, 2, &[1]);
     assert_eq!(grant_due(&mut l), [2]);
-    l.apply(Entry::Seen(vec![(Target::proxy("p"), known("x", false))]));
+    l.apply(Entry::UpdateTargets(vec![(Target::proxy("p"), known("x", false))]));
     let forget = || Entry::Forget { proxy: "p".into(), by: "ops".into() };
     assert!(matches!(l.apply(forget()), Verdict::Refused(Refusal::Alive(_))));
-    l.apply(Entry::Seen(vec![(Target::proxy("p"), known("x", true))]));
+    l.apply(Entry::UpdateTargets(vec![(Target::proxy("p"), known("x", true))]));
     assert_eq!(l.apply(forget()), Verdict::Done);
 }
 
@@ -300,7 +306,7 @@
             soak_ms: 1000,
             patience_ms: 1000,
             margin: 10,
-            backs: true,
+            auto_rollback: true,
             by: "ops".into(),
             why: String::new(),
         }
@@ -312,11 +318,12 @@
 
     /// Requests permits for all due targets, as a leader does; returns the targets.
     fn request_due(l: &mut Ledger) -> Vec<Target> {
-        let due = l.due(l.release(ID).expect("planned"));
+        let due = l.targets_due(l.release(ID).expect("planned"));
         for target in &due {
             let id = l.request_id_for(ID, target);
-            let asking = Asking { id, targets: [target.clone()].into(), release: Some(ID), ..asking(0, &[]) };
-            l.apply(Entry::Ask(asking));
+            let request =
+                PermitRequest { id, targets: [target.clone()].into(), release: Some(ID), ..request(0, &[]) };
+            l.apply(Entry::RequestPermit(request));
         }
         due
     }
@@ -333,7 +340,7 @@
             l.apply(Entry::Drained { target: target.clone(), fence, version: 1 });
             let runs = Some(runs.to_owned());
             assert_eq!(l.apply(Entry::Returned { target: target.clone(), fence, runs }), Verdict::Done);
-            l.apply(Entry::Back { target, fence });
+            l.apply(Entry::Restored { target, fence });
             changed += 1;
         }
         changed
@@ -366,7 +373,7 @@
         assert_eq!(change_all(&mut l, "1.5"), 2);
         assert_eq!(advance(&mut l, Stage::Soaking(1)), Stage::Soaking(1));
         assert_eq!(advance(&mut l, Stage::Done), Stage::Done);
-        assert!(l.apply(Entry::GoOn { release: ID, by: "ops".into() }) != Verdict::Done);
+        assert!(l.apply(Entry::ResumeRelease { release: ID, by: "ops".into() }) != Verdict::Done);
     }
 
     #[test]
@@ -375,7 +382,7 @@
         request_due(&mut l);
         grant_due(&mut l);
         let out = l.granted().next().map(|(t, f, _)| (t.clone(), f)).expect("one is out");
-        l.apply(Entry::Hold { release: ID, by: "ops".into(), why: "no".into() });
+        l.apply(Entry::HaltRelease { release: ID, by: "ops".into(), why: "no".into() });
         assert!(matches!(l.phase(&out.0), Some((_, Phase::Returning))));
         assert_eq!(l.permits().count(), 1, "the others are withdrawn");
         assert!(request_due(&mut l).is_empty());
@@ -384,8 +391,8 @@
             matches!(l.apply(back), Verdict::Refused(Refusal::Runs { .. })),
             "the version it runs is required"
         );
-        l.apply(Entry::Back { target: out.0, fence: out.1 });
-        l.apply(Entry::GoOn { release: ID, by: "ops".into() });
+        l.apply(Entry::Restored { target: out.0, fence: out.1 });
+        l.apply(Entry::ResumeRelease { release: ID, by: "ops".into() });
         assert_eq!(stage(&l), Stage::Wave(0));
         assert_eq!(change_all(&mut l, "1.5"), 3);
     }
@@ -396,20 +403,21 @@
         change_all(&mut l, "1.5");
         advance(&mut l, Stage::Soaking(0));
         advance(&mut l, Stage::Wave(1));
-        // The first wave runs the release and one target of the second wave is out when an operator starts the rollback.
+        // The first wave runs the release and one target of the second wave is out when an operator starts the
+        // rollback.
         request_due(&mut l);
         grant_due(&mut l);
-        l.apply(Entry::TurnBack { release: ID, by: "ops".into() });
+        l.apply(Entry::RollBack { release: ID, by: "ops".into() });
         let early = l.granted().next().map(|(t, f, _)| (t.clone(), f)).expect("one was out");
-        l.apply(Entry::Back { target: early.0, fence: early.1 });
-        assert_eq!(advance(&mut l, Stage::WentBack), Stage::GoingBack, "b0 still runs it");
+        l.apply(Entry::Restored { target: early.0, fence: early.1 });
+        assert_eq!(advance(&mut l, Stage::RolledBack), Stage::RollingBack, "b0 still runs it");
         assert_eq!(request_due(&mut l), [b(0)]);
         // A rollback can be halted, and resumes as a rollback.
-        l.apply(Entry::Hold { release: ID, by: "ops".into(), why: "wait".into() });
-        l.apply(Entry::GoOn { release: ID, by: "ops".into() });
-        assert_eq!(stage(&l), Stage::GoingBack);
+        l.apply(Entry::HaltRelease { release: ID, by: "ops".into(), why: "wait".into() });
+        l.apply(Entry::ResumeRelease { release: ID, by: "ops".into() });
+        assert_eq!(stage(&l), Stage::RollingBack);
         assert_eq!(change_all(&mut l, "1.4"), 1);
-        assert_eq!(advance(&mut l, Stage::WentBack), Stage::WentBack);
+        assert_eq!(advance(&mut l, Stage::RolledBack), Stage::RolledBack);
     }
 
     #[test]
@@ -431,6 +439,6 @@
         assert!(why.to_string().contains("b0 is part of a release under way"), "{why}");
         bound(&mut l, 0);
         let third = Plan { id: 79, name: "third".into(), ..plan(&[&[3]]) };
-        assert!(matches!(l.apply(Entry::Plan(Box::new(third))), Verdict::Refused(Refusal::Against(_))));
+        assert!(matches!(l.apply(Entry::Plan(Box::new(third))), Verdict::Refused(Refusal::BoundConflict(_))));
     }
 }
--- a/crates/sandgap-rollout/src/release.rs
+++ b/crates/sandgap-rollout/src/release.rs
@@ -35,7 +35,7 @@
     /// Increase of the failure rate that warrants a halt, in per mille of attempts.
     pub margin: u32,
     /// Rolls back automatically when the gate reports bad.
-    pub backs: bool,
+    pub auto_rollback: bool,
     /// Name of the operator.
     pub by: String,
     /// Reason.
@@ -70,22 +70,22 @@
         back: bool,
     },
     /// Targets that run the release are rolled back.
-    GoingBack,
+    RollingBack,
     /// All waves are complete.
     Done,
     /// The rollback is complete; no target runs the release.
-    WentBack,
+    RolledBack,
 }
 
 impl Stage {
     /// Whether targets may be taken out in this stage.
     pub fn takes_out(&self) -> bool {
-        matches!(self, Stage::Wave(_) | Stage::GoingBack)
+        matches!(self, Stage::Wave(_) | Stage::RollingBack)
     }
 
     /// Whether the release has ended.
     pub fn has_ended(&self) -> bool {
-        matches!(self, Stage::Done | Stage::WentBack)
+        matches!(self, Stage::Done | Stage::RolledBack)
     }
 
     /// The current wave, or the one in which it was halted.
@@ -105,9 +105,9 @@
             Stage::Soaking(k) => write!(f, "wave {} is watched", k + 1),
             Stage::Halted { by, why, back: true, .. } => write!(f, "halted on the way back by {by}: {why}"),
             Stage::Halted { by, why, wave, .. } => write!(f, "halted in wave {} by {by}: {why}", wave + 1),
-            Stage::GoingBack => write!(f, "going back"),
+            Stage::RollingBack => write!(f, "going back"),
             Stage::Done => write!(f, "done"),
-            Stage::WentBack => write!(f, "went back"),
+            Stage::RolledBack => write!(f, "went back"),
         }
     }
 }
--- a/crates/sandgap-rollout/src/carry.rs
+++ b/crates/sandgap-rollout/src/state_machine.rs
@@ -7,9 +7,9 @@
 use crate::controller::Controller;
 use crate::ledger::{Entry, Ledger, Phase, Verdict};
 use crate::limits::MAX_WATCHED;
-use crate::news::Orders;
+use crate::messages::Instructions;
 use crate::release_controller::cohort;
-use crate::target::{Side, Target};
+use crate::target::{Target, TargetKind};
 
 /// Tag of this state machine in the log.
 pub const TAG: Tag = 1;
@@ -87,12 +87,12 @@
 
     fn check_submission(&self, entry: &[u8]) -> Result<(), String> {
         match decode(entry).map_err(|e| e.to_string())? {
-            Entry::Seen(_)
+            Entry::UpdateTargets(_)
             | Entry::Grant { .. }
             | Entry::Drained { .. }
-            | Entry::Back { .. }
+            | Entry::Restored { .. }
             | Entry::Advance { .. } => Err("only the leader may propose this entry".into()),
-            Entry::Ask(asking) if asking.release.is_some() => {
+            Entry::RequestPermit(request) if request.release.is_some() => {
                 Err("only the leader may request permits for a release".into())
             }
             _ => Ok(()),
@@ -113,7 +113,7 @@
                     Ok(()) => "others before it, or a word of the leader".into(),
                 },
             };
-            (permit.asking.id, reason)
+            (permit.request.id, reason)
         };
         let against = self.ledger.permits().filter(|p| p.grant.is_none()).map(reason).collect();
         postcard::to_stdvec(&Status { ledger: self.ledger.clone(), waits, against }).unwrap_or_default()
@@ -125,10 +125,10 @@
         }
         let out =
             self.ledger.phase(&Target::proxy(proxy)).is_some_and(|(_, phase)| phase != Phase::Returning);
-        let backends = self.ledger.granted().filter(|(t, ..)| t.side == Side::Backend);
+        let backends = self.ledger.granted().filter(|(t, ..)| t.kind == TargetKind::Backend);
         let watch = backends.map(|(t, ..)| t.name.clone()).take(MAX_WATCHED).collect();
         let (measure, cohort) = (self.ledger.wants_evidence(), cohort(&self.ledger));
-        Orders { out, watch, dial: true, measure, cohort }.encode()
+        Instructions { out, watch, dial: true, measure, cohort }.encode()
     }
 
     fn objection(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
--- a/crates/sandgap-rollout/src/target.rs
+++ b/crates/sandgap-rollout/src/target.rs
@@ -7,7 +7,7 @@
 
 /// Kind of process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Side {
+pub enum TargetKind {
     /// A proxy of the fleet.
     Proxy,
     /// A backend that proxies send requests to.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Target {
     /// Kind of process.
-    pub side: Side,
+    pub kind: TargetKind,
     /// Name of the process.
     pub name: String,
 }
@@ -26,20 +26,20 @@
 impl Target {
     /// Creates a proxy target.
     pub fn proxy(name: &str) -> Self {
-        Target { side: Side::Proxy, name: name.to_owned() }
+        Target { kind: TargetKind::Proxy, name: name.to_owned() }
     }
 
     /// Creates a backend target.
     pub fn backend(name: &str) -> Self {
-        Target { side: Side::Backend, name: name.to_owned() }
+        Target { kind: TargetKind::Backend, name: name.to_owned() }
     }
 }
 
 impl fmt::Display for Target {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self.side {
-            Side::Proxy => write!(f, "proxy:{}", self.name),
-            Side::Backend => write!(f, "{}", self.name),
+        match self.kind {
+            TargetKind::Proxy => write!(f, "proxy:{}", self.name),
+            TargetKind::Backend => write!(f, "{}", self.name),
         }
     }
 }
--- a/crates/sandgap-rollout/tests/bounds.rs
+++ b/crates/sandgap-rollout/tests/bounds.rs
@@ -4,8 +4,10 @@
 use std::collections::BTreeSet;
 
 use proptest::prelude::*;
-use sandgap_rollout::ledger::Known;
-use sandgap_rollout::{Asking, Bound, Entry, Labels, Ledger, Most, Per, Phase, Side, Target, Verdict};
+use sandgap_rollout::ledger::TargetState;
+use sandgap_rollout::{
+    Bound, Entry, Labels, Ledger, Limit, PermitRequest, Phase, Scope, Target, TargetKind, Verdict,
+};
 
 const BACKENDS: usize = 12;
 const PROXIES: usize = 4;
@@ -27,7 +29,7 @@
     Ask {
         targets: Vec<usize>,
         priority: u8,
-        beyond: bool,
+        bypasses: bool,
     },
     /// `None`: a leader grants the permit that is due. `Some`: an outdated leader proposes an arbitrary request.
     Grant(Option<usize>),
@@ -47,7 +49,7 @@
     let any = 0..BACKENDS + PROXIES;
     prop_oneof![
         4 => (prop::collection::vec(any.clone(), 1..5), 0..10u8, prop::bool::weighted(0.05))
-            .prop_map(|(targets, priority, beyond)| Step::Ask { targets, priority, beyond }),
+            .prop_map(|(targets, priority, bypasses)| Step::Ask { targets, priority, bypasses }),
         8 => prop::option::weighted(0.2, 0..40usize).prop_map(Step::Grant),
         4 => any.clone().prop_map(Step::Drained),
         4 => any.clone().prop_map(Step::Returned),
@@ -63,13 +65,13 @@
 }
 
 fn bounds(n: usize) -> Vec<Bound> {
-    let bound = |side, per, most| Bound { side, per, most };
+    let bound = |kind, scope, limit| Bound { kind, scope, limit };
     let (fleet, zone) = ([4, 3, 1, 0][n], [1, 2, 1, 1][n]);
     vec![
-        bound(Side::Backend, Per::Fleet, Most::Count(fleet)),
-        bound(Side::Backend, Per::Zone, Most::Count(zone)),
-        bound(Side::Backend, Per::Cell, Most::PerMille(500)),
-        bound(Side::Proxy, Per::Fleet, Most::PerMille(500)),
+        bound(TargetKind::Backend, Scope::Fleet, Limit::Count(fleet)),
+        bound(TargetKind::Backend, Scope::Zone, Limit::Count(zone)),
+        bound(TargetKind::Backend, Scope::Cell, Limit::PerMille(500)),
+        bound(TargetKind::Proxy, Scope::Fleet, Limit::PerMille(500)),
     ]
 }
 
@@ -79,20 +81,20 @@
     let mut exceeded = Vec::new();
     for bound in ledger.bounds() {
         let scopes: BTreeSet<Option<String>> =
-            ledger.targets().values().map(|k| scope_of(bound.per, &k.labels)).collect();
+            ledger.targets().values().map(|k| scope_of(bound.scope, &k.labels)).collect();
         for scope in scopes {
             let here = |t: &&Target| {
-                t.side == bound.side
-                    && ledger.targets().get(t).is_some_and(|k| scope_of(bound.per, &k.labels) == scope)
+                t.kind == bound.kind
+                    && ledger.targets().get(t).is_some_and(|k| scope_of(bound.scope, &k.labels) == scope)
             };
             let (total, out_here) =
                 (ledger.targets().keys().filter(here).count(), out.iter().filter(here).count());
-            let most = match bound.most {
-                Most::Count(n) => n as usize,
-                Most::PerMille(n) => total * n as usize / 1000,
-                Most::Need { .. } => usize::MAX,
+            let limit = match bound.limit {
+                Limit::Count(n) => n as usize,
+                Limit::PerMille(n) => total * n as usize / 1000,
+                Limit::Need { .. } => usize::MAX,
             };
-            if out_here > most {
+            if out_here > limit {
                 exceeded.push((format!("{bound} in {scope:?}"), format!("{out_here} of {total}")));
             }
         }
@@ -100,12 +102,12 @@
     exceeded
 }
 
-fn scope_of(per: Per, labels: &Labels) -> Option<String> {
-    match per {
-        Per::Fleet => None,
-        Per::Zone => labels.zone.clone(),
-        Per::Cell => labels.cell.map(|c| c.to_string()),
-        Per::Kind => labels.kind.clone(),
+fn scope_of(scope: Scope, labels: &Labels) -> Option<String> {
+    match scope {
+        Scope::Fleet => None,
+        Scope::Zone => labels.zone.clone(),
+        Scope::Cell => labels.cell.map(|c| c.to_string()),
+        Scope::Kind => labels.kind.clone(),
     }
 }
 
@@ -117,8 +119,8 @@
 impl History {
     fn new() -> Self {
         let mut ledger = Ledger::default();
-        let known = |n| Some(Known { labels: labels(n), lost: false });
-        ledger.apply(Entry::Seen((0..BACKENDS + PROXIES).map(|n| (target(n), known(n))).collect()));
+        let known = |n| Some(TargetState { labels: labels(n), lost: false });
+        ledger.apply(Entry::UpdateTargets((0..BACKENDS + PROXIES).map(|n| (target(n), known(n))).collect()));
         ledger.apply(Entry::Bounds { bounds: bounds(0), by: "t".into(), why: String::new() });
         History { ledger, request_ids: Vec::new() }
     }
@@ -130,19 +132,19 @@
     fn entry(&mut self, step: Step) -> Option<Entry> {
         let by = || "t".to_owned();
         Some(match step {
-            Step::Ask { targets, priority, beyond } => {
+            Step::Ask { targets, priority, bypasses } => {
                 let id = self.request_ids.len() as u64 + 1;
                 self.request_ids.push(id);
                 let targets = targets.into_iter().map(target).collect();
-                let beyond = beyond.then(|| "bypass".to_owned());
-                Entry::Ask(Asking {
+                let bypass_reason = bypasses.then(|| "bypass".to_owned());
+                Entry::RequestPermit(PermitRequest {
                     id,
                     holder: by(),
                     why: by(),
                     priority,
                     targets,
                     waits: !id.is_multiple_of(3),
-                    beyond,
+                    bypass_reason,
                     release: None,
                 })
             }
@@ -150,9 +152,11 @@
             Step::Grant(None) => Entry::Grant { id: self.ledger.next_grant(None)?, evidence: None },
             Step::Drained(n) => Entry::Drained { target: target(n), fence: self.fence(n), version: 1 },
             Step::Returned(n) => Entry::Returned { target: target(n), fence: self.fence(n), runs: None },
-            Step::Back(n) => Entry::Back { target: target(n), fence: self.fence(n) },
-            Step::Seen(n, lost) => Entry::Seen(vec![(target(n), Some(Known { labels: labels(n), lost }))]),
-            Step::Gone(n) => Entry::Seen(vec![(target(n), None)]),
+            Step::Back(n) => Entry::Restored { target: target(n), fence: self.fence(n) },
+            Step::Seen(n, lost) => {
+                Entry::UpdateTargets(vec![(target(n), Some(TargetState { labels: labels(n), lost }))])
+            }
+            Step::Gone(n) => Entry::UpdateTargets(vec![(target(n), None)]),
             Step::Halt => Entry::Halt { by: by(), why: by() },
             Step::Resume => Entry::Resume { by: by() },
             Step::Withdraw(n) => Entry::Withdraw { id: *self.request_ids.get(n)?, by: by() },
@@ -172,7 +176,7 @@
         let grants = matches!(entry, Entry::Grant { .. });
         let bypasses_bounds = match &entry {
             Entry::Grant { id, .. } => {
-                self.ledger.permits().any(|p| p.asking.id == *id && p.asking.beyond.is_some())
+                self.ledger.permits().any(|p| p.request.id == *id && p.request.bypass_reason.is_some())
             }
             _ => false,
         };
@@ -185,8 +189,8 @@
             let exceeded_after = exceeded_bounds(&self.ledger);
             let scopes = |t: &Target| -> Vec<String> {
                 let labels = before.targets().get(t).map(|k| k.labels.clone()).unwrap_or_default();
-                let of_side = before.bounds().iter().filter(|b| b.side == t.side);
-                of_side.map(|b| format!("{b} in {:?}", scope_of(b.per, &labels))).collect()
+                let of_kind = before.bounds().iter().filter(|b| b.kind == t.kind);
+                of_kind.map(|b| format!("{b} in {:?}", scope_of(b.scope, &labels))).collect()
             };
             let affected_scopes: BTreeSet<String> =
                 granted_after.difference(&granted_before).flat_map(scopes).collect();
@@ -203,8 +207,9 @@
 
     /// Makes all targets healthy, then grants and ends every permit that can be granted.
     fn settle(&mut self) {
-        let known = |n| Some(Known { labels: labels(n), lost: false });
-        self.ledger.apply(Entry::Seen((0..BACKENDS + PROXIES).map(|n| (target(n), known(n))).collect()));
+        let known = |n| Some(TargetState { labels: labels(n), lost: false });
+        self.ledger
+            .apply(Entry::UpdateTargets((0..BACKENDS + PROXIES).map(|n| (target(n), known(n))).collect()));
         self.ledger.apply(Entry::Bounds { bounds: bounds(0), by: "t".into(), why: String::new() });
         self.ledger.apply(Entry::Resume { by: "t".into() });
         for _ in 0..500 {
@@ -218,7 +223,7 @@
                 self.ledger.granted().map(|(t, fence, phase)| (t.clone(), fence, phase)).collect();
             let Some((target, fence, _)) = out.into_iter().next() else { break };
             self.ledger.apply(Entry::Returned { target: target.clone(), fence, runs: None });
-            self.ledger.apply(Entry::Back { target, fence });
+            self.ledger.apply(Entry::Restored { target, fence });
         }
         let grantable: Vec<_> =
             self.ledger.permits().filter(|p| self.ledger.check_grant(p, None).is_ok()).collect();
--- a/crates/sandgap-rollout/tests/model.rs
+++ b/crates/sandgap-rollout/tests/model.rs
@@ -7,8 +7,8 @@
 
 use std::collections::BTreeSet;
 
-use sandgap_rollout::ledger::Known;
-use sandgap_rollout::{Asking, Bound, Entry, Labels, Ledger, Most, Per, Phase, Side, Target};
+use sandgap_rollout::ledger::TargetState;
+use sandgap_rollout::{Bound, Entry, Labels, Ledger, Limit, PermitRequest, Phase, Scope, Target, TargetKind};
 use stateright::{Checker, Model, Property};
 
 const GRANT_SAFETY: &str = "no grant exceeds the bound or ignores a halt";
@@ -107,35 +107,35 @@
 }
 
 fn bounds(most: u32) -> Entry {
-    let bounds = vec![Bound { side: Side::Backend, per: Per::Fleet, most: Most::Count(most) }];
+    let bounds = vec![Bound { kind: TargetKind::Backend, scope: Scope::Fleet, limit: Limit::Count(most) }];
     Entry::Bounds { bounds, by: String::new(), why: String::new() }
 }
 
 fn seen(n: usize, lost: bool) -> Entry {
-    Entry::Seen(vec![(target(n), Some(Known { labels: Labels::default(), lost }))])
+    Entry::UpdateTargets(vec![(target(n), Some(TargetState { labels: Labels::default(), lost }))])
 }
 
 /// Number of permits that each holder requests in sequence for its target.
 const WANTED: [u8; HOLDERS] = [2, 1];
 
-fn asking(holder: usize, round: u8) -> Asking {
+fn request(holder: usize, round: u8) -> PermitRequest {
     let (id, targets) = (holder as u64 + 1 + 10 * u64::from(round), BTreeSet::from([target(holder)]));
-    Asking {
+    PermitRequest {
         id,
         holder: String::new(),
         why: String::new(),
         priority: 5,
         targets,
         waits: true,
-        beyond: None,
+        bypass_reason: None,
         release: None,
     }
 }
 
 /// Whether the holder's latest request reports its target as drained.
 fn is_told_drained(ledger: &Ledger, holder: usize, round: u8) -> bool {
-    let id = asking(holder, round).id;
-    let grant = ledger.permits().find(|p| p.asking.id == id).and_then(|p| p.grant.as_ref());
+    let id = request(holder, round).id;
+    let grant = ledger.permits().find(|p| p.request.id == id).and_then(|p| p.grant.as_ref());
     grant.is_some_and(|(_, phases)| matches!(phases.get(&target(holder)), Some(Phase::Drained(_))))
 }
 
@@ -179,13 +179,13 @@
 
     fn deliver(&self, state: &mut State, message: Message) {
         match message {
-            Message::Ask(holder, round) => state.apply([Entry::Ask(asking(holder, round))]),
+            Message::Ask(holder, round) => state.apply([Entry::RequestPermit(request(holder, round))]),
             Message::Returned(n, fence) => {
                 let current_fence = state.phase(n).map(|(current, _)| current);
                 let fence = if self.0 == Defect::NoFence { current_fence.unwrap_or(fence) } else { fence };
                 state.apply([Entry::Returned { target: target(n), fence, runs: None }]);
                 if self.0 == Defect::TrustsHolder {
-                    state.apply([Entry::Back { target: target(n), fence }]);
+                    state.apply([Entry::Restored { target: target(n), fence }]);
                 }
             }
         }
@@ -229,7 +229,7 @@
         }
         actions.extend(ledger.next_grant(None).map(Step::Grant));
         if self.0 == Defect::HaltSkipsWaiting {
-            actions.extend(ledger.permits().filter(|p| p.grant.is_none()).map(|p| Step::Grant(p.asking.id)));
+            actions.extend(ledger.permits().filter(|p| p.grant.is_none()).map(|p| Step::Grant(p.request.id)));
         }
         if let Some(old_ledger) = &state.old_ledger {
             actions.extend(read(old_ledger).next_grant(None).map(Step::GrantByDeposed));
@@ -293,7 +293,7 @@
                 let fence = last.phase(n)?.0;
                 state.apply([
                     Entry::Returned { target: target(n), fence, runs: None },
-                    Entry::Back { target: target(n), fence },
+                    Entry::Restored { target: target(n), fence },
                 ]);
             }
             Step::Halt => {
--- a/crates/sandgap/src/rules/outs.rs
+++ b/crates/sandgap/src/rules/outs.rs
@@ -5,8 +5,8 @@
 
 use clap::Args;
 use sandgap_agree::messages::Message;
-use sandgap_rollout::carry::{self, Status, TAG};
-use sandgap_rollout::{Asking, Bound, Entry, Permit, Phase, Target, Verdict};
+use sandgap_rollout::state_machine::{self, Status, TAG};
+use sandgap_rollout::{Bound, Entry, Permit, PermitRequest, Phase, Target, Verdict};
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
@@ -70,12 +70,16 @@
         let leader = self.leader().await?;
         let number = self.next_number();
         let take = move |message| match message {
-            Message::RiderEntryApplied(n, bytes) if n == number => carry::verdict(&bytes).map(Ok),
+            Message::RiderEntryApplied(n, bytes) if n == number => state_machine::verdict(&bytes).map(Ok),
             Message::RiderRefused(n, why) if n == number => Some(Err(why)),
             _ => None,
         };
         let answer = self
-            .ask(Some(&leader.voter), Message::ProposeRiderEntry(number, TAG, carry::encode(entry)), take)
+            .ask(
+                Some(&leader.voter),
+                Message::ProposeRiderEntry(number, TAG, state_machine::encode(entry)),
+                take,
+            )
             .await?;
         match answer {
             Ok(Verdict::Refused(why)) => Err(CallError::Rejected(why.to_string())),
@@ -91,7 +95,7 @@
             let number = self.next_number();
             let take = move |message| match message {
                 Message::RiderAnswer(n, leads, bytes) if n == number => {
-                    Some(carry::status(&bytes).filter(|_| leads))
+                    Some(state_machine::status(&bytes).filter(|_| leads))
                 }
                 Message::RiderRefused(n, _) if n == number => Some(None),
                 _ => None,
@@ -123,18 +127,18 @@
             Some(wish) => parse_wish(wish)?,
             None => self.next_number(),
         };
-        let (holder, why, waits, beyond) = (caller_name(), out.why, out.queue, out.beyond_bound);
-        let asking = Asking {
+        let (holder, why, waits, bypass_reason) = (caller_name(), out.why, out.queue, out.beyond_bound);
+        let request = PermitRequest {
             id,
             holder,
             why,
             priority: out.priority,
             targets: targets(&out.targets),
             waits,
-            beyond,
+            bypass_reason,
             release: None,
         };
-        let verdict = self.submit(&Entry::Ask(asking)).await?;
+        let verdict = self.submit(&Entry::RequestPermit(request)).await?;
         match out.wait {
             true => self.wait_until_empty(id).await,
             false => self.print_permit(id, &verdict, false),
@@ -145,7 +149,7 @@
     async fn wait_until_empty(&mut self, id: u64) -> Result<()> {
         loop {
             let status = self.permit_status().await?;
-            let permit = status.ledger.permits().find(|p| p.asking.id == id);
+            let permit = status.ledger.permits().find(|p| p.request.id == id);
             let Some(permit) = permit else {
                 let text = format!("wish {id:x} was given up, or its targets have left the fleet");
                 return Err(CallError::Rejected(text));
@@ -244,10 +248,10 @@
         }
         status.ledger.bounds().iter().for_each(|b| println!("at most {b}"));
         for permit in status.ledger.permits() {
-            let asking = &permit.asking;
+            let request = &permit.request;
             let what =
                 permit.grant.as_ref().map_or("waits".to_owned(), |(fence, _)| format!("permit {fence}"));
-            println!("wish {:x}  {what}  {}  {}", asking.id, asking.holder, asking.why);
+            println!("wish {:x}  {what}  {}  {}", request.id, request.holder, request.why);
             match &permit.grant {
                 None => println!("    {}", waiting_for(&status, permit)),
                 Some((_, all)) => all.iter().for_each(|(target, phase)| {
@@ -280,7 +284,7 @@
     let Some(permit) = status.ledger.permits().find(out) else {
         return Err(CallError::Rejected(format!("{target} is not out: 'sandgap fleet outs' lists what is")));
     };
-    let (fence, holder) = (permit.grant.as_ref().map_or(0, |(fence, _)| *fence), &permit.asking.holder);
+    let (fence, holder) = (permit.grant.as_ref().map_or(0, |(fence, _)| *fence), &permit.request.holder);
     match *holder == caller_name() {
         true => Ok(fence),
         false => Err(CallError::Rejected(format!(
@@ -293,7 +297,7 @@
 fn waiting_for(status: &Status, permit: &Permit) -> String {
     match &permit.grant {
         None => {
-            let why = status.against.iter().find(|(id, _)| *id == permit.asking.id);
+            let why = status.against.iter().find(|(id, _)| *id == permit.request.id);
             why.map_or("its turn".into(), |(_, why)| why.clone())
         }
         Some((_, all)) => {
@@ -311,8 +315,8 @@
             json!({"target": t.to_string(), "phase": phase_name(*phase), "waits_for": wait})
         };
         let out: Vec<Value> = p.grant.iter().flat_map(|(_, all)| all.iter().map(target)).collect();
-        let asked: Vec<String> = p.asking.targets.iter().map(ToString::to_string).collect();
-        json!({"wish": format!("{:x}", p.asking.id), "holder": p.asking.holder, "why": p.asking.why,
+        let asked: Vec<String> = p.request.targets.iter().map(ToString::to_string).collect();
+        json!({"wish": format!("{:x}", p.request.id), "holder": p.request.holder, "why": p.request.why,
             "permit": p.grant.as_ref().map(|(fence, _)| fence), "asked": asked, "out": out})
     };
     let all = status.ledger.targets().iter();
--- a/crates/sandgap/src/rules/releases.rs
+++ b/crates/sandgap/src/rules/releases.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use clap::{Args, Subcommand};
-use sandgap_rollout::carry::Status;
+use sandgap_rollout::state_machine::Status;
 use sandgap_rollout::{Entry, Phase, Plan, Release, Stage, Target};
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -111,13 +111,13 @@
                 self.change_release(&name, |release, by| Entry::Begin { release, by }).await
             }
             ReleaseCommand::Halt { name, why } => {
-                self.change_release(&name, |release, by| Entry::Hold { release, by, why }).await
+                self.change_release(&name, |release, by| Entry::HaltRelease { release, by, why }).await
             }
             ReleaseCommand::Resume { name } => {
-                self.change_release(&name, |release, by| Entry::GoOn { release, by }).await
+                self.change_release(&name, |release, by| Entry::ResumeRelease { release, by }).await
             }
             ReleaseCommand::Back { name } => {
-                self.change_release(&name, |release, by| Entry::TurnBack { release, by }).await
+                self.change_release(&name, |release, by| Entry::RollBack { release, by }).await
             }
             ReleaseCommand::Status => self.releases().await,
             ReleaseCommand::Work { name, wait } => self.work(&name, wait).await,
@@ -139,7 +139,7 @@
             soak_ms: ms(planned.soak),
             patience_ms: ms(planned.patience_for_finding),
             margin: (planned.margin.clamp(0.1, 99.0) * 10.0).round() as u32,
-            backs: !planned.no_way_back,
+            auto_rollback: !planned.no_way_back,
             by: caller_name(),
             why: planned.why,
         };
@@ -215,7 +215,7 @@
         }
         None => {
             let why =
-                status.against.iter().find(|(id, _)| *id == permit.asking.id).map(|(_, why)| why.clone());
+                status.against.iter().find(|(id, _)| *id == permit.request.id).map(|(_, why)| why.clone());
             ("waits", why)
         }
     }
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -296,7 +296,7 @@
                     self.agent.borrow_mut().checked(now(), version, usable);
                 }
                 Output::Act(version, rules) => self.activate(version, &rules),
-                Output::RiderMessages(orders) => self.watch.apply_orders(&orders),
+                Output::RiderMessages(messages) => self.watch.apply_instructions(&messages),
                 Output::Enrolment(_) => {} // the daemon does not use lives yet
                 Output::Log(text) => note!("{text}"),
             }
--- a/crates/sandgap/src/rules/watch.rs
+++ b/crates/sandgap/src/rules/watch.rs
@@ -1,4 +1,4 @@
-//! A proxy's part in permits: it observes what the leader orders and reports the observations. No task runs while no
+//! A proxy's part in permits: it observes what the leader asks for and reports the observations. No task runs while no
 //! bound is set and no target is out.
 
 use std::cell::{Cell, RefCell};
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use sandgap_rollout::TAG;
-use sandgap_rollout::gate::Ended;
-use sandgap_rollout::news::{News, Orders, Sight};
+use sandgap_rollout::gate::AttemptCounts;
+use sandgap_rollout::messages::{BackendAttempts, Instructions, ProxyReport};
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 use tokio::task::{JoinSet, spawn_local};
@@ -34,7 +34,7 @@
     agent: SharedAgent,
     is_voter: bool,
     zone: Option<String>,
-    orders: RefCell<Orders>,
+    instructions: RefCell<Instructions>,
     /// Whether the reporting task runs.
     reporting: Cell<bool>,
     /// Whether the dialling task runs.
@@ -46,25 +46,26 @@
 /// before the first round.
 type Dialled = Option<BTreeMap<String, (SocketAddr, u32)>>;
 
-fn ended((all, failed): (u64, u64)) -> Ended {
-    Ended { all, failed }
+fn ended((all, failed): (u64, u64)) -> AttemptCounts {
+    AttemptCounts { all, failed }
 }
 
 impl Watch {
-    /// A watch without orders.
+    /// A watch without instructions.
     pub fn new(parts: Parts, agent: SharedAgent, is_voter: bool, zone: Option<String>) -> Rc<Self> {
-        let (orders, reporting, dialling, dialled) = Default::default();
-        Rc::new(Watch { parts, agent, is_voter, zone, orders, reporting, dialling, dialled })
+        let (instructions, reporting, dialling, dialled) = Default::default();
+        Rc::new(Watch { parts, agent, is_voter, zone, instructions, reporting, dialling, dialled })
     }
 
-    /// Applies new orders; empty orders stop both tasks.
-    pub fn apply_orders(self: &Rc<Self>, tagged: &[(u8, Vec<u8>)]) {
-        let orders = tagged.iter().find(|(tag, _)| *tag == TAG).map(|(_, bytes)| Orders::decode(bytes));
-        let orders = orders.unwrap_or_default();
-        self.parts.front.serving().order_out(orders.out);
-        let dials = orders.dial && self.is_voter;
-        *self.orders.borrow_mut() = orders;
-        if self.has_orders() && !self.reporting.replace(true) {
+    /// Applies new instructions; empty instructions stop both tasks.
+    pub fn apply_instructions(self: &Rc<Self>, tagged: &[(u8, Vec<u8>)]) {
+        let instructions =
+            tagged.iter().find(|(tag, _)| *tag == TAG).map(|(_, bytes)| Instructions::decode(bytes));
+        let instructions = instructions.unwrap_or_default();
+        self.parts.front.serving().order_out(instructions.out);
+        let dials = instructions.dial && self.is_voter;
+        *self.instructions.borrow_mut() = instructions;
+        if self.has_instructions() && !self.reporting.replace(true) {
             spawn_local(self.clone().report());
         }
         if dials && !self.dialling.replace(true) {
@@ -72,14 +73,14 @@
         }
     }
 
-    fn has_orders(&self) -> bool {
-        *self.orders.borrow() != Orders::default()
+    fn has_instructions(&self) -> bool {
+        *self.instructions.borrow() != Instructions::default()
     }
 
     async fn report(self: Rc<Self>) {
-        while self.has_orders() {
-            if let Some(news) = self.observe().await {
-                self.agent.borrow_mut().set_rider_message(TAG, news.encode());
+        while self.has_instructions() {
+            if let Some(report) = self.observe().await {
+                self.agent.borrow_mut().set_rider_message(TAG, report.encode());
             }
             sleep(REPORT_INTERVAL).await;
         }
@@ -87,19 +88,19 @@
         self.reporting.set(false);
     }
 
-    async fn observe(&self) -> Option<News> {
-        let orders = self.orders.borrow().clone();
+    async fn observe(&self) -> Option<ProxyReport> {
+        let instructions = self.instructions.borrow().clone();
         // The version in force now is already in the driver's inbox, ahead of the query.
         let version = self.agent.borrow().follower().acting();
-        let measured = match orders.measure && self.is_voter {
+        let measured = match instructions.measure && self.is_voter {
             true => self.backends().into_iter().map(|(name, _)| name).collect(),
             false => Vec::new(),
         };
         let (answer, observed) = oneshot::channel();
-        let (number, cohort) = orders.cohort.unzip();
+        let (number, cohort) = instructions.cohort.unzip();
         let cohort = cohort.unwrap_or_default();
         self.parts.inbox.send(Input::StatusQuery(Box::new(StatusQuery {
-            in_flight_at: orders.watch,
+            in_flight_at: instructions.watch,
             limits_of: measured,
             cohort,
             answer,
@@ -107,12 +108,16 @@
         let observed = observed.await.ok()?;
         let missed = self.unreachable();
         let front = &self.parts.front;
-        Some(News {
+        Some(ProxyReport {
             version,
             out: front.serving().is_out(),
             open: u32::try_from(front.busy()).unwrap_or(u32::MAX),
             held: observed.in_flight_total,
-            sights: observed.in_flight.into_iter().map(|(name, held)| Sight { name, held }).collect(),
+            backend_attempts: observed
+                .in_flight
+                .into_iter()
+                .map(|(name, held)| BackendAttempts { name, held })
+                .collect(),
             dialled: missed.is_some(),
             missed: missed.unwrap_or_default(),
             holds: observed.limits,
@@ -139,7 +144,7 @@
     }
 
     async fn dial_backends(self: Rc<Self>) {
-        while self.has_orders() && self.orders.borrow().dial {
+        while self.has_instructions() && self.instructions.borrow().dial {
             let mut round = BTreeMap::new();
             let (mut waiting, mut under_way) = (self.backends().into_iter(), JoinSet::new());
             loop {
