--- a/crates/sandgap-lab/src/takeover/mod.rs
+++ b/crates/sandgap-lab/src/takeover/mod.rs
@@ -1,7 +1,7 @@
 //! Simulation of request takeover in virtual time. It runs the daemon's own [`sandgap_agree::Agent`]s and
-//! [`sandgap_takeover::Hands`], with clients that retry under the same identity, backends that deduplicate repeats for
-//! a limited time, and a network and processes with faults: partitions, lost, late and duplicated messages, paused and
-//! killed processes.
+//! [`sandgap_takeover::Takeover`], with clients that retry under the same identity, backends that deduplicate repeats
+//! for a limited time, and a network and processes with faults: partitions, lost, late and duplicated messages, paused
+//! and killed processes.
 //!
 //! A simplified stand-in, [`proxy`], does the work of a proxy's front and decision module.
 
--- a/crates/sandgap-lab/src/takeover/proxy.rs
+++ b/crates/sandgap-lab/src/takeover/proxy.rs
@@ -6,9 +6,9 @@
 
 use sandgap_agree::lives::next_random;
 use sandgap_fleet::Time;
-use sandgap_takeover::hands::Begun;
-use sandgap_takeover::owner::Why;
-use sandgap_takeover::{Answer, Effect, End, Hands, Plan, Sent};
+use sandgap_takeover::owner::StopReason;
+use sandgap_takeover::takeover::ResumedRequest;
+use sandgap_takeover::{Answer, Effect, End, Plan, Sent, Takeover};
 
 use super::Flaw;
 use super::checker::ClientResult;
@@ -98,12 +98,13 @@
 
     /// Continues a request that was taken over.
     pub fn resume(
-        &mut self, now: Time, begun: Begun, index: usize, hands: &mut Hands, actions: &mut Vec<Action>,
+        &mut self, now: Time, resumed: ResumedRequest, index: usize, takeover: &mut Takeover,
+        actions: &mut Vec<Action>,
     ) {
-        let Begun { seq, record, deadline, plan, .. } = begun;
+        let ResumedRequest { seq, record, deadline, plan, .. } = resumed;
         let cell = record.sent.first().and_then(|s| s.cell.as_ref()?.parse().ok());
         let dedup = match (plan, cell) {
-            (Plan::Again(until), Some(cell)) => Some((cell, until)),
+            (Plan::Repeat(until), Some(cell)) => Some((cell, until)),
             _ => None,
         };
         let attempts = record.sent.iter().map(|s| s.attempt + 1).max().unwrap_or(0);
@@ -118,10 +119,10 @@
         };
         self.active.insert(seq, request);
         actions.push(Action::Resumed(index));
-        self.send(now, seq, hands);
+        self.send(now, seq, takeover);
     }
 
-    fn send(&mut self, now: Time, seq: u64, hands: &mut Hands) {
+    fn send(&mut self, now: Time, seq: u64, takeover: &mut Takeover) {
         let backend = self.draw_below(4 / CELLS);
         let any_cell = self.draw_below(CELLS);
         let Some(request) = self.active.get_mut(&seq) else { return };
@@ -140,39 +141,39 @@
             request.pending = Pending::SendConfirmed(backend, 0);
             return;
         }
-        if let Some(step) = hands.sending(now, seq, sent) {
+        if let Some(step) = takeover.sending(now, seq, sent) {
             request.pending = Pending::SendConfirmed(backend, step);
         }
     }
 
-    fn end(&mut self, now: Time, seq: u64, end: End, hands: &mut Hands) {
+    fn end(&mut self, now: Time, seq: u64, end: End, takeover: &mut Takeover) {
         let Some(request) = self.active.get_mut(&seq) else { return };
         let result = client_result(&end);
-        if let Some(step) = hands.ended(now, seq, end) {
+        if let Some(step) = takeover.ended(now, seq, end) {
             request.pending = Pending::EndConfirmed(result, step);
         }
     }
 
     /// Handles the confirmation that all keepers have a step.
     pub fn confirmed(
-        &mut self, now: Time, seq: u64, step: u32, may_act: bool, hands: &mut Hands,
+        &mut self, now: Time, seq: u64, step: u32, may_act: bool, takeover: &mut Takeover,
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.active.get_mut(&seq) else { return };
         request.kept = true;
         match request.pending.clone() {
             Pending::Kept => {
-                self.send(now, seq, hands);
-                self.send_unconfirmed(now, seq, may_act, hands, actions);
+                self.send(now, seq, takeover);
+                self.send_unconfirmed(now, seq, may_act, takeover, actions);
             }
             Pending::SendConfirmed(backend, confirmed_step) if step >= confirmed_step => {
-                self.send_attempt(now, seq, backend, may_act, hands, actions);
+                self.send_attempt(now, seq, backend, may_act, takeover, actions);
             }
             Pending::EndConfirmed(result, confirmed_step) if step >= confirmed_step => {
                 let Some(request) = self.active.remove(&seq) else { return };
                 let result = if may_act { result } else { ClientResult::Retry };
                 actions.push(Action::Tell(request.index, result));
-                hands.release(seq);
+                takeover.release(seq);
             }
             _ => {}
         }
@@ -180,18 +181,18 @@
 
     /// Sends an attempt without the keepers' confirmation, where a flaw asks for that.
     fn send_unconfirmed(
-        &mut self, now: Time, seq: u64, may_act: bool, hands: &mut Hands, actions: &mut Vec<Action>,
+        &mut self, now: Time, seq: u64, may_act: bool, takeover: &mut Takeover, actions: &mut Vec<Action>,
     ) {
         let unconfirmed = matches!(self.flaw, Some(Flaw::SendBeforeKeeping | Flaw::SentNotRecorded));
         if let Some(Pending::SendConfirmed(backend, _)) =
             self.active.get(&seq).map(|request| request.pending.clone()).filter(|_| unconfirmed)
         {
-            self.send_attempt(now, seq, backend, may_act, hands, actions);
+            self.send_attempt(now, seq, backend, may_act, takeover, actions);
         }
     }
 
     fn send_attempt(
-        &mut self, now: Time, seq: u64, backend: u64, may_act: bool, hands: &mut Hands,
+        &mut self, now: Time, seq: u64, backend: u64, may_act: bool, takeover: &mut Takeover,
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.active.get_mut(&seq) else { return };
@@ -201,9 +202,9 @@
         let deduplicated = request.dedup.is_none_or(|(_, until)| now < until);
         if !deduplicated || now >= request.deadline {
             let ran = request.dedup.is_some() || request.effect == Effect::Unsafe && request.attempts > 1;
-            hands.unsent(now, seq, request.attempts - 1);
+            takeover.unsent(now, seq, request.attempts - 1);
             let end = if ran { End::Unknown } else { End::Refused };
-            return self.end(now, seq, end, hands);
+            return self.end(now, seq, end, takeover);
         }
         if request.effect == Effect::Keyed && request.dedup.is_none() {
             request.dedup = Some((backend % CELLS, now + DEDUP_WINDOW));
@@ -214,7 +215,7 @@
 
     /// Handles a backend's answer, or `None` for a broken connection.
     pub fn reply(
-        &mut self, now: Time, seq: u64, answer: Option<u64>, may_act: bool, hands: &mut Hands,
+        &mut self, now: Time, seq: u64, answer: Option<u64>, may_act: bool, takeover: &mut Takeover,
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.active.get_mut(&seq).filter(|request| request.pending == Pending::Reply)
@@ -224,49 +225,54 @@
         match answer {
             Some(answer) => {
                 let body = answer.to_le_bytes().to_vec();
-                self.end(now, seq, End::Answered(Answer::Whole(200, Vec::new(), body)), hands);
+                self.end(now, seq, End::Answered(Answer::Whole(200, Vec::new(), body)), takeover);
             }
-            None if request.effect == Effect::Unsafe => self.end(now, seq, End::Unknown, hands),
+            None if request.effect == Effect::Unsafe => self.end(now, seq, End::Unknown, takeover),
             None if request.attempts >= MAX_ATTEMPTS || now >= request.deadline => {
                 let end = if request.effect == Effect::Safe { End::Refused } else { End::Unknown };
-                self.end(now, seq, end, hands);
+                self.end(now, seq, end, takeover);
             }
             None => {
-                self.send(now, seq, hands);
-                self.send_unconfirmed(now, seq, may_act, hands, actions);
+                self.send(now, seq, takeover);
+                self.send_unconfirmed(now, seq, may_act, takeover, actions);
             }
         }
     }
 
     /// Handles that a request can't go on.
-    pub fn stop(&mut self, now: Time, seq: u64, why: Why, hands: &mut Hands, actions: &mut Vec<Action>) {
+    pub fn stop(
+        &mut self, now: Time, seq: u64, why: StopReason, takeover: &mut Takeover, actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.active.get_mut(&seq) else { return };
         match why {
-            Why::Ended(end) => {
+            StopReason::Ended(end) => {
                 actions.push(Action::Tell(request.index, client_result(&end)));
                 self.active.remove(&seq);
-                hands.release(seq);
+                takeover.release(seq);
             }
             // Tells the client to retry; the record ends once a keeper is reachable.
-            Why::NoKeeper | Why::Full => {
+            StopReason::NoKeeper | StopReason::Full => {
                 actions.push(Action::Tell(request.index, ClientResult::Retry));
                 match request.pending {
                     // A keeper may have the record although its confirmation never arrived; it has to end there.
                     Pending::Kept => {
-                        let step = hands.ended(now, seq, End::Refused).unwrap_or_default();
+                        let step = takeover.ended(now, seq, End::Refused).unwrap_or_default();
                         request.pending = Pending::EndConfirmed(ClientResult::Retry, step);
                     }
-                    _ if now < request.deadline + DEDUP_WINDOW => hands.retry(now, seq),
+                    _ if now < request.deadline + DEDUP_WINDOW => takeover.retry(now, seq),
                     _ => {
                         self.active.remove(&seq);
-                        hands.release(seq);
+                        takeover.release(seq);
                     }
                 }
             }
-            Why::Held(_) | Why::Differs | Why::Blind(_) | Why::Over => {
+            StopReason::Held(_)
+            | StopReason::Differs
+            | StopReason::Indeterminate(_)
+            | StopReason::Superseded => {
                 actions.push(Action::Tell(request.index, ClientResult::Retry));
                 self.active.remove(&seq);
-                hands.release(seq);
+                takeover.release(seq);
             }
         }
     }
--- a/crates/sandgap-lab/src/takeover/simulation.rs
+++ b/crates/sandgap-lab/src/takeover/simulation.rs
@@ -8,9 +8,9 @@
 use sandgap_agree::messages::Message;
 use sandgap_agree::{Agent, Output as AgentOutput};
 use sandgap_fleet::Time;
-use sandgap_takeover::hands::Terms;
-use sandgap_takeover::words::Letter;
-use sandgap_takeover::{Content, Effect, Hands, Identity, Output, Record};
+use sandgap_takeover::messages::Envelope;
+use sandgap_takeover::takeover::Settings;
+use sandgap_takeover::{Content, Effect, Identity, Output, Record, Takeover};
 
 use super::Setup;
 use super::checker::{Checker, ClientResult, Findings, Request};
@@ -43,7 +43,7 @@
     /// A takeover message arrives at a process.
     TakeoverMessage {
         to: usize,
-        message: Letter,
+        message: Envelope,
     },
     /// A process's timer fires.
     Timer {
@@ -94,7 +94,7 @@
 
 struct Process {
     agent: Agent,
-    hands: Hands,
+    takeover: Takeover,
     proxy: Proxy,
 }
 
@@ -254,15 +254,15 @@
         if let Err(e) = votes {
             self.checker.violations.push(format!("p{n} can't start from its disk: {e}"));
         }
-        let hands = Hands::new(Terms {
+        let takeover = Takeover::new(Settings {
             drift: timing.lease_bound.drift,
             keepers: self.setup.keepers,
-            wait: duration(100 * MS),
+            keeper_timeout: duration(100 * MS),
             retention: duration(8 * SECOND),
-            at_once: 32,
+            max_concurrent_resumes: 32,
         });
         let proxy = Proxy::new(self.setup.flaw, random);
-        self.nodes[n].process = Some(Process { agent, hands, proxy });
+        self.nodes[n].process = Some(Process { agent, takeover, proxy });
         self.poll(n);
     }
 
@@ -289,15 +289,15 @@
             p.agent.fire(now);
             // Without the right to act it sends nothing; pending messages are repeated once it has the right.
             if Self::may_act(p, now) {
-                p.hands.fire(now);
+                p.takeover.fire(now);
             }
         });
     }
 
-    fn receive(&mut self, n: usize, message: Letter) {
+    fn receive(&mut self, n: usize, message: Envelope) {
         self.with(n, |p, now| {
             let may_act = Self::may_act(p, now);
-            p.hands.hear(now, message, may_act);
+            p.takeover.handle_envelope(now, message, may_act);
         });
     }
 
@@ -307,8 +307,8 @@
             let Some(process) = &mut self.nodes[n].process else { return };
             if let Some(output) = process.agent.poll() {
                 self.carry_out(n, output);
-            } else if let Some(output) = process.hands.poll() {
-                self.carry_out_hands(n, output);
+            } else if let Some(output) = process.takeover.poll() {
+                self.carry_out_takeover(n, output);
             } else {
                 break;
             }
@@ -317,9 +317,9 @@
         let Some(process) = &node.process else { return };
         // Timers that are due while the process lacks the right to act are checked again after 1 ms at the earliest.
         let local = node.host.clock.local(now);
-        let hands = process.hands.next_due().map(|at| at.max(local + duration(MS)));
+        let takeover = process.takeover.next_due().map(|at| at.max(local + duration(MS)));
         let due = process.agent.next_due();
-        let due = hands.map_or(due, |at| at.min(due));
+        let due = takeover.map_or(due, |at| at.min(due));
         if let Some(at) = node.host.arm_timer(now, due) {
             let incarnation = node.host.incarnation;
             self.events.push(at, Event::Timer { node: n, incarnation });
@@ -339,10 +339,10 @@
                 let (at, incarnation) = (node.host.queue_write(now, &mut self.rng), node.host.incarnation);
                 self.events.push(at, Event::Written { node: n, incarnation, write });
             }
-            AgentOutput::Enrolment(turn) => {
+            AgentOutput::Enrolment(event) => {
                 let local = self.nodes[n].host.clock.local(self.now());
                 if let Some(process) = &mut self.nodes[n].process {
-                    process.hands.turn(local, turn);
+                    process.takeover.handle_enrolment(local, event);
                 }
             }
             AgentOutput::Check(..)
@@ -352,25 +352,27 @@
         }
     }
 
-    fn carry_out_hands(&mut self, n: usize, output: Output) {
+    fn carry_out_takeover(&mut self, n: usize, output: Output) {
         let now = self.now();
         let local = self.nodes[n].host.clock.local(now);
         let Some(process) = &mut self.nodes[n].process else { return };
         let may_act = Self::may_act(process, local);
         let mut actions = Vec::new();
-        let Process { agent, hands, proxy } = process;
+        let Process { agent, takeover, proxy } = process;
         match output {
-            Output::Say(to, message) => return self.send(n, &to, message),
-            Output::Clear(seq, step) => proxy.confirmed(local, seq, step, may_act, hands, &mut actions),
-            Output::Stop(seq, why) => proxy.stop(local, seq, why, hands, &mut actions),
-            Output::Begin(begun) => {
-                if let Some(index) = self.identities.get(&begun.record.identity) {
-                    proxy.resume(local, *begun, *index, hands, &mut actions);
+            Output::Send(to, message) => return self.send(n, &to, message),
+            Output::StepConfirmed(seq, step) => {
+                proxy.confirmed(local, seq, step, may_act, takeover, &mut actions)
+            }
+            Output::Stopped(seq, why) => proxy.stop(local, seq, why, takeover, &mut actions),
+            Output::Resume(resumed) => {
+                if let Some(index) = self.identities.get(&resumed.record.identity) {
+                    proxy.resume(local, *resumed, *index, takeover, &mut actions);
                 }
             }
             Output::Settled(epoch) => agent.report_settled(local, epoch),
-            Output::Over(_) => proxy.drop_all(&mut actions),
-            Output::Note(_) => {}
+            Output::LifeEnded(_) => proxy.drop_all(&mut actions),
+            Output::Log(_) => {}
         }
         self.perform(n, actions);
     }
@@ -430,7 +432,7 @@
         arrivals.into_iter().map(|at| (to, at)).collect()
     }
 
-    fn send(&mut self, n: usize, to: &str, message: Letter) {
+    fn send(&mut self, n: usize, to: &str, message: Envelope) {
         self.found.messages += 1;
         self.found.bytes += message.encode().len() as u64;
         for (to, at) in self.arrivals(n, to) {
@@ -560,7 +562,7 @@
             effect,
             version: 1,
             keepers: Vec::new(),
-            alone: false,
+            may_continue_without_keepers: false,
             step: 0,
             sent: Vec::new(),
             end: None,
@@ -572,7 +574,7 @@
             if p.proxy.active.values().any(|request| request.index == n) {
                 return;
             }
-            accepted = p.hands.take(now, record, left, (&b"request"[..]).into());
+            accepted = p.takeover.accept(now, record, left, (&b"request"[..]).into());
             if let Some(seq) = accepted {
                 p.proxy.accept(seq, n, effect, now + left);
             }
@@ -627,8 +629,8 @@
         let mut actions = Vec::new();
         self.with(origin.node, |p, now| {
             let may_act = Self::may_act(p, now);
-            let Process { hands, proxy, .. } = p;
-            proxy.reply(now, origin.seq, answer, may_act, hands, &mut actions);
+            let Process { takeover, proxy, .. } = p;
+            proxy.reply(now, origin.seq, answer, may_act, takeover, &mut actions);
         });
         self.perform(origin.node, actions);
     }
--- a/crates/sandgap-takeover/src/keeper.rs
+++ b/crates/sandgap-takeover/src/keeper.rs
@@ -13,12 +13,12 @@
     MAX_ASKED_LIVES, MAX_BYTES, MAX_ENTRIES, MAX_LOST_LIVES, MAX_OWNER_ENTRIES, MAX_REQUEST_BYTES,
     PAGE_BYTES, TENANT_SHARE_DIVISOR,
 };
+use crate::messages::{Actor, Bytes, Keep, Orphan, Verdict};
 use crate::record::{Answer, End, Known, State};
-use crate::words::{Actor, Bytes, Keep, Orphan, Verdict};
 
 /// Settings of the keeper.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Settings {
     /// Bound on clock drift.
     pub drift: Drift,
     /// Proxies other than the owner that keep each request.
@@ -64,7 +64,7 @@
 /// Records that one process keeps for others; see the module.
 pub struct Keeper {
     me: ProcessId,
-    terms: Terms,
+    settings: Settings,
     kept: FxHashMap<Identity, Kept>,
     /// Ended and unfinished requests by expiry.
     ended: BTreeSet<(Time, Identity)>,
@@ -81,16 +81,16 @@
     lost: BTreeMap<ProcessId, (Enrolled, Time)>,
     /// Processes that the last list named as ended.
     recently_ended: BTreeSet<ProcessId>,
-    /// Processes that an heir has taken over from: their steps are refused.
+    /// Processes that a successor has taken over from: their steps are refused.
     superseded: BTreeMap<ProcessId, Epoch>,
 }
 
 impl Keeper {
     /// Creates an empty keeper.
-    pub fn new(me: ProcessId, terms: Terms) -> Self {
+    pub fn new(me: ProcessId, settings: Settings) -> Self {
         Keeper {
             me,
-            terms,
+            settings,
             kept: FxHashMap::default(),
             ended: BTreeSet::new(),
             open: BTreeSet::new(),
@@ -167,7 +167,7 @@
                 if let Some(end) = &kept.known.record.end {
                     return (Verdict::Ended(end.clone()), Vec::new());
                 }
-                // Only an heir of the acting process may replace it; no other process may, whatever its epoch.
+                // Only a successor of the acting process may replace it; no other process may, whatever its epoch.
                 let ended = self.superseded.contains_key(&kept.actor.life);
                 if !ended || keep.actor.epoch <= kept.actor.epoch {
                     return (Verdict::Held(kept.actor), Vec::new());
@@ -224,7 +224,7 @@
 
     fn insert(&mut self, now: Time, keep: Keep, request: Bytes, unverified: bool) {
         let Keep { actor, seq, record, left, .. } = keep;
-        let known = Known::new(now, record, left, self.terms.drift);
+        let known = Known::new(now, record, left, self.settings.drift);
         let expires = self.expiry(now, &known);
         let identity = known.record.identity;
         let mut kept = Kept { actor, seq, known, request, unverified, expires, bytes: 0 };
@@ -239,11 +239,11 @@
 
     fn expiry(&self, now: Time, known: &Known) -> Time {
         let from = if known.record.end.is_some() { now } else { known.deadline };
-        from.max(known.until.unwrap_or_default()) + self.terms.retention
+        from.max(known.until.unwrap_or_default()) + self.settings.retention
     }
 
     fn advance(&mut self, now: Time, keep: Keep) {
-        let (drift, identity) = (self.terms.drift, keep.record.identity);
+        let (drift, identity) = (self.settings.drift, keep.record.identity);
         let Some(mut kept) = self.kept.remove(&identity) else { return };
         let (was_open, expired) = (kept.is_open(), kept.expires);
         kept.unverified &= keep.fresh;
@@ -307,25 +307,25 @@
     /// that kept records together with it has to be.
     fn who_knows(&self, now: Time, identity: Identity) -> Result<Vec<ProcessId>, Duration> {
         let long_enrolled = |life: &ProcessId| match self.since.get(life) {
-            Some(Some(since)) => now >= *since + self.terms.retention,
+            Some(Some(since)) => now >= *since + self.settings.retention,
             Some(None) => true,
             None => false,
         };
         let (mut ask_also, mut lost_count) = (Vec::new(), 0);
         for life in identity.rank(self.member_list.keys().chain(self.lost.keys())) {
             if let Some((who, at)) = self.lost.get(&life) {
-                let left = (*at + self.terms.retention).saturating_sub(now);
+                let left = (*at + self.settings.retention).saturating_sub(now);
                 if left.is_zero() {
                     continue;
                 }
                 lost_count += 1;
-                if lost_count >= self.terms.keepers {
+                if lost_count >= self.settings.keepers {
                     // As many processes as keep one request have ended: together they may have held all copies.
                     return Err(left);
                 }
                 let mut former_members: BTreeMap<ProcessId, Enrolled> = (*self.member_list).clone();
                 former_members.insert(life, who.clone());
-                let co_keepers = keepers(identity, &former_members, 0, self.terms.keepers);
+                let co_keepers = keepers(identity, &former_members, 0, self.settings.keepers);
                 match co_keepers.into_iter().find(|other| *other != life && long_enrolled(other)) {
                     Some(other) if other == self.me => {}
                     Some(other) => ask_also.push(other),
@@ -346,14 +346,14 @@
         Ok(ask_also)
     }
 
-    /// Returns one page of the unfinished requests of an ended process to its heir; from then on, steps of that process
-    /// are refused. Each page starts after the last identity of the previous one.
+    /// Returns one page of the unfinished requests of an ended process to its successor; from then on, steps of that
+    /// process are refused. Each page starts after the last identity of the previous one.
     pub fn orphans_page(
         &mut self, now: Time, succession: &Succession, after: Option<Identity>,
     ) -> (Vec<Orphan>, bool) {
         let superseded = self.superseded.entry(succession.life).or_insert(succession.epoch);
         if succession.epoch < *superseded {
-            return (Vec::new(), false); // a later heir has taken over from this heir
+            return (Vec::new(), false); // a later successor has taken over from this successor
         }
         *superseded = succession.epoch;
         let left = |(_, kept): &(&Identity, &Kept)| kept.actor.life == succession.life && kept.is_open();
@@ -388,7 +388,7 @@
                 self.forget(identity);
             }
         }
-        let retention = self.terms.retention;
+        let retention = self.settings.retention;
         self.lost.retain(|_, (_, at)| now < *at + retention);
     }
 
@@ -422,12 +422,12 @@
 
     const ME: ProcessId = 2;
 
-    fn terms() -> Terms {
-        Terms { drift: Drift::ppm(0), keepers: 1, retention: ms(5000) }
+    fn settings() -> Settings {
+        Settings { drift: Drift::ppm(0), keepers: 1, retention: ms(5000) }
     }
 
     fn keeper() -> Keeper {
-        let mut keeper = Keeper::new(ME, terms());
+        let mut keeper = Keeper::new(ME, settings());
         keeper.set_member_list(ms(0), member_list(&[1, 2]), &MemberList::default());
         // Enrolled long ago: no other process knows more than this one.
         keeper.since.insert(ME, None);
@@ -471,10 +471,11 @@
         assert!(left.len() == 1 && !more && left[0].record == taken && left[0].left == ms(991));
         let out = taken.sending(sent(0)).expect("room");
         assert_eq!(k.keep(ms(11), keep(7, 0, &out)).0, Verdict::Superseded(4));
-        // The heir continues, and a client's retry finds it.
+        // The successor continues, and a client's retry finds it.
         assert_eq!(k.keep(ms(12), keep(9, 4, &out)).0, Verdict::Kept);
         assert_eq!(k.keep(ms(13), keep(8, 0, &taken)).0, Verdict::Held(Actor { epoch: 4, life: 9 }));
-        // The heir ends too: the next heir finds its progress; a message of the first heir changes nothing.
+        // The successor ends too: the next successor finds its progress; a message of the first successor changes
+        // nothing.
         assert!(k.orphans_page(ms(14), &succession(7, 3), None).0.is_empty());
         assert!(k.orphans_page(ms(14), &succession(7, 5), None).0.is_empty());
         assert_eq!(k.orphans_page(ms(15), &succession(9, 6), None).0[0].record, out);
@@ -512,7 +513,7 @@
                 ..record(Effect::Unsafe)
             })
             .collect();
-        let mut k = Keeper::new(ME, terms());
+        let mut k = Keeper::new(ME, settings());
         k.set_member_list(ms(0), member_list(&[1, 2, 3]), &MemberList::default());
         k.since.insert(ME, None);
         let was_mine = |r: &Record| keepers(r.identity, &member_list(&[1, 2, 3]), 0, 1)[0];
@@ -535,7 +536,7 @@
             );
         }
         // A new process knows nothing, and names older ones.
-        let mut young = Keeper::new(9, terms());
+        let mut young = Keeper::new(9, settings());
         young.set_member_list(ms(0), member_list(&[1, 2, 9]), &MemberList::default());
         for r in &identities {
             let older = keepers(r.identity, &member_list(&[1, 2]), 0, 1)[0];
@@ -544,12 +545,12 @@
         }
         assert!(seen.iter().all(|n| *n > 20), "{seen:?}");
         // If all earlier processes have ended, one of them may have known the identity.
-        let mut heir = Keeper::new(9, terms());
-        heir.set_member_list(ms(0), member_list(&[8, 9]), &member_list(&[1, 2]));
+        let mut successor = Keeper::new(9, settings());
+        successor.set_member_list(ms(0), member_list(&[8, 9]), &member_list(&[1, 2]));
         let mine = identities.iter().filter(|r| keepers(r.identity, &member_list(&[1, 2, 8]), 0, 1)[0] != 8);
         for r in mine {
             assert_eq!(
-                heir.find(ms(1), r.identity, r.content),
+                successor.find(ms(1), r.identity, r.content),
                 (Some(Verdict::Indeterminate(ms(4999))), vec![])
             );
         }
@@ -557,7 +558,7 @@
 
     #[test]
     fn request_is_reported_unknown_if_both_keepers_are_lost() {
-        let mut k = Keeper::new(ME, Terms { keepers: 2, ..terms() });
+        let mut k = Keeper::new(ME, Settings { keepers: 2, ..settings() });
         k.set_member_list(ms(0), member_list(&[1, 2, 3, 4]), &MemberList::default());
         k.since = [1, 2, 3, 4].map(|life| (life, None)).into(); // all were enrolled long ago
         k.set_member_list(ms(100), member_list(&[2, 3]), &member_list(&[1, 4]));
--- a/crates/sandgap-takeover/src/lib.rs
+++ b/crates/sandgap-takeover/src/lib.rs
@@ -2,18 +2,18 @@
 //! over, and what it may do with it. This crate does no I/O; `docs/takeover-design.md` has the table of states and the
 //! argument that a request runs at most once.
 //!
-//! [`owner`] replicates a proxy's own requests, [`keeper`] stores the records of other proxies, and [`heir`] takes over
-//! the requests of a process that ended. Lives, leases and epochs are those of [`sandgap_agree::lives`].
+//! [`owner`] replicates a proxy's own requests, [`keeper`] stores the records of other proxies, and [`successor`] takes
+//! over the requests of a process that ended. Lives, leases and epochs are those of [`sandgap_agree::lives`].
 
-pub mod hands;
-pub mod heir;
 pub mod identity;
 pub mod keeper;
 pub mod limits;
+pub mod messages;
 pub mod owner;
 pub mod record;
-pub mod words;
+pub mod successor;
+pub mod takeover;
 
-pub use hands::{Hands, Output, Terms};
 pub use identity::{Content, Identity};
 pub use record::{Answer, Effect, End, Known, Plan, Record, Sent};
+pub use takeover::{Output, Settings, Takeover};
--- a/crates/sandgap-takeover/src/words.rs
+++ b/crates/sandgap-takeover/src/messages.rs
@@ -12,7 +12,7 @@
 /// The bytes of a request, as the front encoded them.
 pub type Bytes = Rc<[u8]>;
 
-/// The process that acts for a request: its owner under epoch 0, or an heir under the epoch of its succession.
+/// The process that acts for a request: its owner under epoch 0, or a successor under the epoch of its succession.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Actor {
     /// 0 for the owner that accepted it; of two actors, the one with the higher epoch prevails.
@@ -53,7 +53,7 @@
     Differs,
     /// The keeper is at its limit of entries or bytes, or the request is too large.
     Full,
-    /// An heir has taken over from the sender, which may no longer act.
+    /// A successor has taken over from the sender, which may no longer act.
     Superseded(Epoch),
     /// All processes that may have known this identity were lost recently: for this long it is unknown whether it ran.
     Indeterminate(Duration),
@@ -83,7 +83,7 @@
     Find(u64, Identity, Content),
     /// The reply: what is known (`None` for nothing), and which other processes have to be asked.
     FindReply(u64, Option<Verdict>, Vec<ProcessId>),
-    /// From an heir: asks for the records kept of an ended process, after the given identity.
+    /// From a successor: asks for the records kept of an ended process, after the given identity.
     QueryOrphans(u64, Succession, Option<Identity>),
     /// One page of the reply: the query's number, the succession's epoch, the records, and whether more pages follow.
     Orphans(u64, Epoch, Vec<Orphan>, bool),
@@ -91,7 +91,7 @@
 
 /// A message with its sender and recipient. A message to an earlier process of a name is not accepted by a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Letter {
+pub struct Envelope {
     /// The sender.
     pub from: ProcessId,
     /// The recipient.
@@ -115,16 +115,16 @@
     pub request: Bytes,
 }
 
-impl Letter {
-    /// Encodes the letter.
+impl Envelope {
+    /// Encodes the envelope.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default() // plain data always encodes
     }
 
-    /// Decodes a letter; `None` for invalid bytes, which are treated as a lost message.
-    pub fn decode(bytes: &[u8]) -> Option<Letter> {
+    /// Decodes an envelope; `None` for invalid bytes, which are treated as a lost message.
+    pub fn decode(bytes: &[u8]) -> Option<Envelope> {
         match postcard::take_from_bytes(bytes) {
-            Ok((letter, [])) => Some(letter),
+            Ok((envelope, [])) => Some(envelope),
             _ => None,
         }
     }
--- a/crates/sandgap-takeover/src/owner.rs
+++ b/crates/sandgap-takeover/src/owner.rs
@@ -9,21 +9,21 @@
 
 use crate::identity::keepers;
 use crate::limits::{JOIN_POLL_INTERVAL, MAX_ASKED_LIVES, RESEND_INTERVAL};
+use crate::messages::{Actor, Bytes, Keep, KeepReply, Message, Verdict};
 use crate::record::{End, Record, Sent};
-use crate::words::{Actor, Bytes, Keep, KeepReply, Message, Verdict};
 
 /// Settings of the owner.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Settings {
     /// Proxies other than the owner that keep each request.
     pub keepers: usize,
     /// Timeout for the keepers to confirm a step.
-    pub wait: Duration,
+    pub keeper_timeout: Duration,
 }
 
 /// Why a request can't continue.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum StopReason {
     /// No keeper confirmed the step within the timeout.
     NoKeeper,
     /// A keeper is at its limit.
@@ -35,9 +35,9 @@
     /// The identity is in use for a different content.
     Differs,
     /// For this long it is unknown whether the request ran.
-    Blind(Duration),
-    /// An heir has taken over from this process, or the request has ended or has too many attempts.
-    Over,
+    Indeterminate(Duration),
+    /// A successor has taken over from this process, or the request has ended or has too many attempts.
+    Superseded,
 }
 
 /// An action for the caller.
@@ -46,9 +46,9 @@
     /// Send this message to a process, possibly to this process's own keeper.
     Send(ProcessId, Message),
     /// All keepers have stored the request's steps up to this one: the actions that they precede may be taken.
-    Clear(u64, u32),
+    StepConfirmed(u64, u32),
     /// The request can't continue.
-    Stop(u64, Why),
+    Stopped(u64, StopReason),
 }
 
 /// A request in flight, and the replication of its current step.
@@ -107,7 +107,7 @@
 /// Replicates the requests of one process; see the module.
 pub struct Owner {
     life: ProcessId,
-    terms: Terms,
+    settings: Settings,
     member_list: MemberList,
     requests: BTreeMap<u64, InFlight>,
     next: u64,
@@ -115,8 +115,8 @@
 
 impl Owner {
     /// Creates an owner without requests.
-    pub fn new(life: ProcessId, terms: Terms) -> Self {
-        Owner { life, terms, member_list: MemberList::default(), requests: BTreeMap::new(), next: 1 }
+    pub fn new(life: ProcessId, settings: Settings) -> Self {
+        Owner { life, settings, member_list: MemberList::default(), requests: BTreeMap::new(), next: 1 }
     }
 
     /// Number of requests in flight.
@@ -129,9 +129,9 @@
         self.requests.get(&seq).map(|own| &own.record)
     }
 
-    /// Accepts a request with its `record` at step 0; its keepers are chosen here. An heir accepts an inherited request
-    /// under its succession's epoch, with the steps that it knows of.
-    pub fn take(
+    /// Accepts a request with its `record` at step 0; its keepers are chosen here. A successor accepts an inherited
+    /// request under its succession's epoch, with the steps that it knows of.
+    pub fn accept(
         &mut self, now: Time, epoch: u64, mut record: Record, left: Duration, request: Bytes,
         orders: &mut Vec<Order>,
     ) -> u64 {
@@ -139,7 +139,8 @@
         self.next += 1;
         // An inherited request keeps its keepers: a retry of its client looks for it there.
         let current: &[ProcessId] = if epoch > 0 { &record.keepers } else { &[] };
-        record.keepers = choose_keepers(&record, current, &self.member_list, self.life, self.terms.keepers);
+        record.keepers =
+            choose_keepers(&record, current, &self.member_list, self.life, self.settings.keepers);
         let own = InFlight {
             actor: Actor { epoch, life: self.life },
             record,
@@ -160,13 +161,13 @@
         seq
     }
 
-    /// Records an attempt, which may be sent once [`Order::Clear`] names the returned step.
+    /// Records an attempt, which may be sent once [`Order::StepConfirmed`] names the returned step.
     pub fn sending(&mut self, now: Time, seq: u64, sent: Sent, orders: &mut Vec<Order>) -> Option<u32> {
         let next = self.requests.get(&seq)?.record.sending(sent);
         match next {
             Some(record) => Some(self.advance(now, seq, record, orders)),
             None => {
-                orders.push(Order::Stop(seq, Why::Over));
+                orders.push(Order::Stopped(seq, StopReason::Superseded));
                 None
             }
         }
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Records the end, which the client may be told once [`Order::Clear`] names the returned step.
+    /// Records the end, which the client may be told once [`Order::StepConfirmed`] names the returned step.
     pub fn ended(&mut self, now: Time, seq: u64, end: End, orders: &mut Vec<Order>) -> Option<u32> {
         let record = self.requests.get(&seq)?.record.ended(end);
         Some(self.advance(now, seq, record, orders))
@@ -209,13 +210,13 @@
             // Stopped immediately the first time; a retried request is stopped only after the timeout.
             if !std::mem::replace(&mut own.retried, true) {
                 own.stopped = true;
-                orders.push(Order::Stop(seq, Why::NoKeeper));
+                orders.push(Order::Stopped(seq, StopReason::NoKeeper));
             }
             return;
         }
         // The first keeper decides which process owns the identity. The others get the record only after it has
         // confirmed; otherwise two concurrent owners could each be accepted by a different keeper.
-        // They also wait for the replies of processes that may know the identity: from their copy an heir would
+        // They also wait for the replies of processes that may know the identity: from their copy a successor would
         // conclude that the request may be sent.
         let first_confirmed =
             own.record.keepers.first().is_some_and(|first| own.confirmed.contains_key(first));
@@ -347,7 +348,7 @@
         if own.is_confirmed() && own.cleared.is_none_or(|step| step < own.record.step) {
             own.cleared = Some(own.record.step);
             own.stopped = false;
-            orders.push(Order::Clear(seq, own.record.step));
+            orders.push(Order::StepConfirmed(seq, own.record.step));
         }
     }
 
@@ -355,22 +356,22 @@
         let Some(own) = self.requests.get_mut(&seq).filter(|own| !own.stopped) else { return };
         own.stopped = true;
         let why = match verdict {
-            Verdict::Full => Why::Full,
-            Verdict::Held(actor) => Why::Held(actor),
-            Verdict::Ended(end) => Why::Ended(end),
-            Verdict::Differs => Why::Differs,
-            Verdict::Indeterminate(left) => Why::Blind(left),
-            Verdict::Superseded(_) => Why::Over,
-            Verdict::Kept | Verdict::MissingRequest => Why::NoKeeper, // not final verdicts; `handle_keep_reply` handles both
+            Verdict::Full => StopReason::Full,
+            Verdict::Held(actor) => StopReason::Held(actor),
+            Verdict::Ended(end) => StopReason::Ended(end),
+            Verdict::Differs => StopReason::Differs,
+            Verdict::Indeterminate(left) => StopReason::Indeterminate(left),
+            Verdict::Superseded(_) => StopReason::Superseded,
+            Verdict::Kept | Verdict::MissingRequest => StopReason::NoKeeper, // not final verdicts; `handle_keep_reply` handles both
         };
-        orders.push(Order::Stop(seq, why));
+        orders.push(Order::Stopped(seq, why));
     }
 
     /// Handles a new list of enrolled processes: keepers that ended are replaced. A live keeper is never replaced, as
     /// its copy would become stale and cover less than may have happened.
     pub fn set_member_list(&mut self, now: Time, member_list: MemberList, orders: &mut Vec<Order>) {
         self.member_list = member_list;
-        let (member_list, life, count) = (self.member_list.clone(), self.life, self.terms.keepers);
+        let (member_list, life, count) = (self.member_list.clone(), self.life, self.settings.keepers);
         let mut changed = Vec::new();
         for (seq, own) in &mut self.requests {
             let lives = |life: &ProcessId| member_list.contains_key(life);
@@ -406,12 +407,12 @@
         for seq in due {
             let Some(own) = self.requests.get_mut(&seq) else { continue };
             let (end, why) = match own.joined {
-                Some(actor) => (own.deadline, Why::Held(actor)),
-                None => (own.since + self.terms.wait, Why::NoKeeper),
+                Some(actor) => (own.deadline, StopReason::Held(actor)),
+                None => (own.since + self.settings.keeper_timeout, StopReason::NoKeeper),
             };
             if now >= end {
                 own.stopped = true;
-                orders.push(Order::Stop(seq, why));
+                orders.push(Order::Stopped(seq, why));
             } else {
                 self.send_step(now, seq, orders);
             }
@@ -435,11 +436,11 @@
 
     impl Case {
         fn new(lives: &[ProcessId], keepers: usize) -> Self {
-            let mut owner = Owner::new(ME, Terms { keepers, wait: ms(50) });
+            let mut owner = Owner::new(ME, Settings { keepers, keeper_timeout: ms(50) });
             let mut orders = Vec::new();
             owner.set_member_list(ms(0), member_list(lives), &mut orders);
             let request = Bytes::from(&b"request"[..]);
-            let seq = owner.take(ms(0), 0, record(Effect::Keyed), ms(1000), request, &mut orders);
+            let seq = owner.accept(ms(0), 0, record(Effect::Keyed), ms(1000), request, &mut orders);
             Case { owner, orders, seq }
         }
 
@@ -473,7 +474,7 @@
 
         fn cleared(&mut self) -> Option<u32> {
             self.orders().into_iter().rev().find_map(|o| match o {
-                Order::Clear(_, step) => Some(step),
+                Order::StepConfirmed(_, step) => Some(step),
                 _ => None,
             })
         }
@@ -518,7 +519,7 @@
         case.owner.fire(ms(20), &mut case.orders);
         assert!(case.orders().iter().all(|o| matches!(o, Order::Send(..))));
         case.owner.fire(ms(60), &mut case.orders);
-        assert_eq!(case.orders(), [Order::Stop(case.seq, Why::NoKeeper)]);
+        assert_eq!(case.orders(), [Order::Stopped(case.seq, StopReason::NoKeeper)]);
         assert_eq!(case.owner.next_due(), None);
     }
 
@@ -535,7 +536,7 @@
         assert!(case.orders().is_empty(), "it waits for the end of the other request");
         let ended = Some(Verdict::Ended(End::Unknown));
         case.owner.handle_find_reply(ms(30), older, case.seq, ended, &[], &mut case.orders);
-        assert_eq!(case.orders(), [Order::Stop(case.seq, Why::Ended(End::Unknown))]);
+        assert_eq!(case.orders(), [Order::Stopped(case.seq, StopReason::Ended(End::Unknown))]);
     }
 
     #[test]
@@ -568,7 +569,7 @@
     #[test]
     fn single_proxy_has_no_keeper() {
         let mut case = Case::new(&[1], 2);
-        assert_eq!(case.orders(), [Order::Stop(case.seq, Why::NoKeeper)]);
+        assert_eq!(case.orders(), [Order::Stopped(case.seq, StopReason::NoKeeper)]);
     }
 
     #[test]
@@ -582,29 +583,29 @@
         assert!(matches!(case.orders()[..], [Order::Send(to, Message::Keep(_))] if to == first));
         case.reply(501, first, Verdict::Held(held));
         case.reply(530, first, Verdict::Ended(End::Unknown));
-        assert_eq!(case.orders(), [Order::Stop(case.seq, Why::Ended(End::Unknown))]);
+        assert_eq!(case.orders(), [Order::Stopped(case.seq, StopReason::Ended(End::Unknown))]);
         let mut waiting = Case::new(&[1, 2], 1);
         waiting.reply(1, first, Verdict::Held(held));
         waiting.orders();
         waiting.owner.fire(ms(1000), &mut waiting.orders);
-        assert_eq!(waiting.orders(), [Order::Stop(waiting.seq, Why::Held(held))]);
+        assert_eq!(waiting.orders(), [Order::Stopped(waiting.seq, StopReason::Held(held))]);
     }
 
     #[test]
     fn each_verdict_stops_the_request_once() {
         for (verdict, why) in [
-            (Verdict::Full, Why::Full),
-            (Verdict::Differs, Why::Differs),
-            (Verdict::Ended(End::Unknown), Why::Ended(End::Unknown)),
-            (Verdict::Superseded(3), Why::Over),
-            (Verdict::Indeterminate(ms(7)), Why::Blind(ms(7))),
+            (Verdict::Full, StopReason::Full),
+            (Verdict::Differs, StopReason::Differs),
+            (Verdict::Ended(End::Unknown), StopReason::Ended(End::Unknown)),
+            (Verdict::Superseded(3), StopReason::Superseded),
+            (Verdict::Indeterminate(ms(7)), StopReason::Indeterminate(ms(7))),
         ] {
             let mut case = Case::new(&[1, 2], 1);
             let keeper = case.keepers()[0];
             case.orders();
             case.reply(1, keeper, verdict.clone());
             case.reply(2, keeper, verdict);
-            assert_eq!(case.orders(), [Order::Stop(case.seq, why)]);
+            assert_eq!(case.orders(), [Order::Stopped(case.seq, why)]);
         }
     }
 }
--- a/crates/sandgap-takeover/src/record.rs
+++ b/crates/sandgap-takeover/src/record.rs
@@ -1,4 +1,4 @@
-//! The replicated record of a request, the state it implies, and what an heir may do with it.
+//! The replicated record of a request, the state it implies, and what a successor may do with it.
 //!
 //! An owner acts on a step only after every keeper listed in the record has stored it. So each keeper's copy covers
 //! at least everything that may have happened: a request in state *taken* was never sent.
@@ -92,7 +92,7 @@
     /// All processes that keep the record. Changed only after one of them has ended.
     pub keepers: Vec<ProcessId>,
     /// The owner may continue without its keepers. A record without attempts then does not prove that none was sent.
-    pub alone: bool,
+    pub may_continue_without_keepers: bool,
     /// Increases with each step: of two records of one owner, the one with the higher step is later.
     pub step: u32,
     /// Attempts that may have been sent.
@@ -108,7 +108,7 @@
             Some(End::Answered(_)) => State::Done,
             Some(End::Refused) => State::Failed,
             Some(End::Unknown) => State::Unknown,
-            None if self.sent.is_empty() && !self.alone => State::Taken,
+            None if self.sent.is_empty() && !self.may_continue_without_keepers => State::Taken,
             None => State::MayHaveRun,
         }
     }
@@ -139,7 +139,7 @@
     }
 }
 
-/// A record as stored by a keeper or an heir, with times on that process's clock.
+/// A record as stored by a keeper or a successor, with times on that process's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Known {
     /// The latest record received.
@@ -182,7 +182,7 @@
         }
     }
 
-    /// What an heir may do with the request now.
+    /// What a successor may do with the request now.
     pub fn plan(&self, now: Time) -> Plan {
         let left = self.deadline.saturating_sub(now);
         match (self.record.state(), self.record.effect) {
@@ -194,22 +194,24 @@
             (State::MayHaveRun, Effect::Unsafe) => Plan::End(End::Unknown),
             // An owner that continues alone does not wait for keepers: the window may have begun before this record
             // came.
-            (State::MayHaveRun, Effect::Keyed) if self.record.alone => Plan::End(End::Unknown),
+            (State::MayHaveRun, Effect::Keyed) if self.record.may_continue_without_keepers => {
+                Plan::End(End::Unknown)
+            }
             (State::MayHaveRun, Effect::Keyed) => match self.until {
-                Some(until) if now < until && !left.is_zero() => Plan::Again(until),
+                Some(until) if now < until && !left.is_zero() => Plan::Repeat(until),
                 _ => Plan::End(End::Unknown),
             },
         }
     }
 }
 
-/// What an heir may do with a request.
+/// What a successor may do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
     /// Send it to any backend within the remaining deadline.
     Send,
     /// Send it within the group that deduplicates its first attempt, and not after this time.
-    Again(Time),
+    Repeat(Time),
     /// Record this end, and tell the client when it retries.
     End(End),
     /// It has already ended: tell the client when it retries.
@@ -242,7 +244,7 @@
             effect,
             version: 3,
             keepers: vec![2],
-            alone: false,
+            may_continue_without_keepers: false,
             step: 0,
             sent: vec![],
             end: None,
@@ -264,10 +266,10 @@
         for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
             let taken = record(effect);
             let out = taken.sending(sent(0)).expect("room");
-            let alone = Record { alone: true, ..taken.clone() };
+            let alone = Record { may_continue_without_keepers: true, ..taken.clone() };
             let again = match effect {
                 Effect::Safe => Plan::Send,
-                Effect::Keyed => Plan::Again(ms(2100)),
+                Effect::Keyed => Plan::Repeat(ms(2100)),
                 Effect::Unsafe => Plan::End(End::Unknown),
             };
             let doubtful = match effect {
@@ -307,7 +309,7 @@
         );
         assert_eq!(
             long_deadline.plan(ms(2097)),
-            Plan::Again(ms(2098)),
+            Plan::Repeat(ms(2098)),
             "a slow clock measures less than the window"
         );
         assert_eq!(long_deadline.plan(ms(2098)), Plan::End(End::Unknown));
--- a/crates/sandgap-takeover/src/heir.rs
+++ b/crates/sandgap-takeover/src/successor.rs
@@ -11,10 +11,10 @@
 
 use crate::identity::Identity;
 use crate::limits::RESEND_INTERVAL;
+use crate::messages::{Bytes, Message, Orphan};
 use crate::record::{End, Known, Plan};
-use crate::words::{Bytes, Message, Orphan};
 
-/// A request that an heir has to finish.
+/// A request that a successor has to finish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Inherited {
     /// The record and its deadline on this clock.
@@ -35,12 +35,12 @@
 }
 
 /// Takes over the in-flight requests of one process.
-pub struct Heir {
+pub struct Successor {
     succession: Succession,
     drift: Drift,
     queries: BTreeMap<ProcessId, Query>,
     /// Minimum version of the list of enrolled processes: from there on it includes every possible keeper.
-    min_roll_version: u64,
+    min_list_number: u64,
     /// Number of the last query sent; 0 before the first.
     last_query: u64,
     seen: BTreeSet<Identity>,
@@ -50,28 +50,30 @@
     /// Resumed requests that have not ended.
     in_progress: usize,
     /// Limit on concurrently resumed requests.
-    at_once: usize,
+    max_concurrent_resumes: usize,
 }
 
-impl Heir {
-    /// Creates an heir under a succession that arrived when the list of enrolled processes had changed
-    /// `min_roll_version` times.
-    pub fn new(succession: Succession, min_roll_version: u64, drift: Drift, at_once: usize) -> Self {
-        Heir {
+impl Successor {
+    /// Creates a successor under a succession that arrived when the list of enrolled processes had changed
+    /// `min_list_number` times.
+    pub fn new(
+        succession: Succession, min_list_number: u64, drift: Drift, max_concurrent_resumes: usize,
+    ) -> Self {
+        Successor {
             succession,
             drift,
             queries: BTreeMap::new(),
-            min_roll_version,
+            min_list_number,
             last_query: 0,
             seen: BTreeSet::new(),
             waiting: BinaryHeap::new(),
             held: BTreeMap::new(),
             in_progress: 0,
-            at_once: at_once.max(1),
+            max_concurrent_resumes: max_concurrent_resumes.max(1),
         }
     }
 
-    /// The succession that this heir acts under.
+    /// The succession that this successor acts under.
     pub fn succession(&self) -> &Succession {
         &self.succession
     }
@@ -86,7 +88,7 @@
     pub fn set_member_list(
         &mut self, now: Time, number: u64, member_list: &MemberList, messages: &mut Vec<(ProcessId, Message)>,
     ) {
-        if number < self.min_roll_version {
+        if number < self.min_list_number {
             return;
         }
         if self.last_query == 0 {
@@ -137,7 +139,7 @@
     /// The next request to resume, if any, earliest deadline first. The number of concurrent ones is limited, so that
     /// a takeover causes no burst of load.
     pub fn next(&mut self, now: Time) -> Option<Inherited> {
-        if self.in_progress >= self.at_once {
+        if self.in_progress >= self.max_concurrent_resumes {
             return None;
         }
         let Reverse((_, identity)) = self.waiting.pop()?;
@@ -188,8 +190,8 @@
     use crate::record::tests::{member_list, ms, record, sent};
     use crate::record::{Effect, Record};
 
-    fn heir() -> Heir {
-        Heir::new(Succession { life: 7, name: "p7".into(), epoch: 3 }, 5, Drift::ppm(0), 2)
+    fn successor() -> Successor {
+        Successor::new(Succession { life: 7, name: "p7".into(), epoch: 3 }, 5, Drift::ppm(0), 2)
     }
 
     fn orphan(n: u32, effect: Effect, out: bool, left: u64) -> Orphan {
@@ -208,52 +210,59 @@
 
     #[test]
     fn all_processes_of_a_new_enough_list_are_queried_until_they_reply() {
-        let (mut heir, mut messages) = (heir(), Vec::new());
-        heir.set_member_list(ms(0), 4, &member_list(&[1, 2]), &mut messages);
-        assert!(messages.is_empty() && !heir.is_settled(), "a keeper may be missing from an old list");
-        heir.set_member_list(ms(1), 5, &member_list(&[1, 2, 3]), &mut messages);
+        let (mut successor, mut messages) = (successor(), Vec::new());
+        successor.set_member_list(ms(0), 4, &member_list(&[1, 2]), &mut messages);
+        assert!(messages.is_empty() && !successor.is_settled(), "a keeper may be missing from an old list");
+        successor.set_member_list(ms(1), 5, &member_list(&[1, 2, 3]), &mut messages);
         assert_eq!(messages.len(), 3);
         let first = number(&messages[0].1);
-        heir.add_page(ms(2), 1, first, vec![], false, &mut messages);
+        successor.add_page(ms(2), 1, first, vec![], false, &mut messages);
         messages.clear();
-        heir.fire(ms(30), &mut messages);
+        successor.fire(ms(30), &mut messages);
         assert_eq!(messages.iter().map(|(life, _)| *life).collect::<Vec<_>>(), [2, 3]);
-        heir.set_member_list(ms(40), 6, &member_list(&[1, 3, 9]), &mut messages);
-        assert_eq!(heir.missing().collect::<Vec<_>>(), [&3], "2 has ended, and 9 joined later");
+        successor.set_member_list(ms(40), 6, &member_list(&[1, 3, 9]), &mut messages);
+        assert_eq!(successor.missing().collect::<Vec<_>>(), [&3], "2 has ended, and 9 joined later");
         let last = number(&messages.iter().find(|(life, _)| *life == 3).expect("asked").1);
-        heir.add_page(ms(50), 3, last, vec![], false, &mut messages);
-        assert!(heir.is_settled());
+        successor.add_page(ms(50), 3, last, vec![], false, &mut messages);
+        assert!(successor.is_settled());
     }
 
     #[test]
     fn each_request_is_resumed_once_by_deadline_within_the_limit() {
-        let (mut heir, mut messages) = (heir(), Vec::new());
-        heir.set_member_list(ms(0), 5, &member_list(&[1, 2]), &mut messages);
+        let (mut successor, mut messages) = (successor(), Vec::new());
+        successor.set_member_list(ms(0), 5, &member_list(&[1, 2]), &mut messages);
         let numbers: Vec<u64> = messages.iter().map(|(_, message)| number(message)).collect();
         let part = vec![orphan(1, Effect::Safe, false, 900), orphan(2, Effect::Safe, false, 300)];
-        heir.add_page(ms(10), 1, numbers[0], part.clone(), true, &mut messages);
-        heir.add_page(ms(10), 1, numbers[0], part.clone(), true, &mut messages);
-        heir.add_page(ms(11), 2, numbers[1], part, false, &mut messages);
+        successor.add_page(ms(10), 1, numbers[0], part.clone(), true, &mut messages);
+        successor.add_page(ms(10), 1, numbers[0], part.clone(), true, &mut messages);
+        successor.add_page(ms(11), 2, numbers[1], part, false, &mut messages);
         let more = number(&messages.last().expect("asked on").1);
-        heir.add_page(ms(12), 1, more, vec![orphan(3, Effect::Unsafe, true, 600)], false, &mut messages);
-        assert_eq!(heir.inherited(), 3);
+        successor.add_page(ms(12), 1, more, vec![orphan(3, Effect::Unsafe, true, 600)], false, &mut messages);
+        assert_eq!(successor.inherited(), 3);
         let order: Vec<Plan> =
-            [heir.next(ms(20)), heir.next(ms(20))].into_iter().flatten().map(|i| i.plan).collect();
+            [successor.next(ms(20)), successor.next(ms(20))].into_iter().flatten().map(|i| i.plan).collect();
         assert_eq!(order, [Plan::Send, Plan::End(End::Unknown)]);
-        assert_eq!(heir.next(ms(20)), None, "two are in progress");
-        heir.ended();
-        assert!(heir.next(ms(20)).is_some() && !heir.is_settled());
-        heir.ended();
-        heir.ended();
-        assert!(heir.is_settled());
+        assert_eq!(successor.next(ms(20)), None, "two are in progress");
+        successor.ended();
+        assert!(successor.next(ms(20)).is_some() && !successor.is_settled());
+        successor.ended();
+        successor.ended();
+        assert!(successor.is_settled());
     }
 
     #[test]
     fn window_is_counted_from_the_query() {
-        let (mut heir, mut messages) = (heir(), Vec::new());
-        heir.set_member_list(ms(0), 5, &member_list(&[1]), &mut messages);
+        let (mut successor, mut messages) = (successor(), Vec::new());
+        successor.set_member_list(ms(0), 5, &member_list(&[1]), &mut messages);
         let number = number(&messages[0].1);
-        heir.add_page(ms(500), 1, number, vec![orphan(1, Effect::Keyed, true, 5000)], false, &mut messages);
-        assert_eq!(heir.next(ms(510)).expect("one").plan, Plan::Again(ms(800)));
+        successor.add_page(
+            ms(500),
+            1,
+            number,
+            vec![orphan(1, Effect::Keyed, true, 5000)],
+            false,
+            &mut messages,
+        );
+        assert_eq!(successor.next(ms(510)).expect("one").plan, Plan::Repeat(ms(800)));
     }
 }
--- a/crates/sandgap-takeover/src/hands.rs
+++ b/crates/sandgap-takeover/src/takeover.rs
@@ -1,7 +1,7 @@
 //! The takeover state of one proxy: its own requests, those that it keeps for others, and those that it inherits.
 //!
-//! The caller passes in the changes of the process's life (see [`sandgap_agree::enrolment`]) and the letters of other
-//! proxies. With each letter it states whether the process has the right to act; without it the letter is ignored.
+//! The caller passes in the changes of the process's life (see [`sandgap_agree::enrolment`]) and the envelopes of other
+//! proxies. With each envelope it states whether the process has the right to act; without it the envelope is ignored.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,51 +10,51 @@
 use sandgap_agree::lives::{Epoch, ProcessId, Succession};
 use sandgap_fleet::{Drift, Time};
 
-use crate::heir::Heir;
 use crate::keeper::{self, Keeper};
 use crate::limits::RESEND_INTERVAL;
-use crate::owner::{self, Order, Owner, Why};
+use crate::messages::{Bytes, Envelope, KeepReply, Message};
+use crate::owner::{self, Order, Owner, StopReason};
 use crate::record::{End, Plan, Record, Sent};
-use crate::words::{Bytes, KeepReply, Letter, Message};
+use crate::successor::Successor;
 
 /// Settings of takeover.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Settings {
     /// Bound on clock drift.
     pub drift: Drift,
     /// Proxies other than the owner that keep each request.
     pub keepers: usize,
     /// Timeout for the keepers to confirm a step.
-    pub wait: Duration,
+    pub keeper_timeout: Duration,
     /// How long an ended request is remembered.
     pub retention: Duration,
     /// Limit on concurrently resumed inherited requests.
-    pub at_once: usize,
+    pub max_concurrent_resumes: usize,
 }
 
 /// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this letter to the proxy with this name.
-    Say(String, Letter),
+    /// Send this envelope to the proxy with this name.
+    Send(String, Envelope),
     /// All keepers have stored the request's steps up to this one: the actions that they precede may be taken while the
     /// process has the right to act.
-    Clear(u64, u32),
+    StepConfirmed(u64, u32),
     /// The request can't continue.
-    Stop(u64, Why),
+    Stopped(u64, StopReason),
     /// An inherited request may continue according to its plan.
-    Begin(Box<Begun>),
+    Resume(Box<ResumedRequest>),
     /// All requests inherited under this epoch have ended.
     Settled(Epoch),
     /// This process may no longer act for its in-flight requests: each of these ends here.
-    Over(Vec<u64>),
+    LifeEnded(Vec<u64>),
     /// A log message.
-    Note(String),
+    Log(String),
 }
 
 /// An inherited request that may continue.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Begun {
+pub struct ResumedRequest {
     /// Its sequence number in this process.
     pub seq: u64,
     /// Its record.
@@ -63,7 +63,7 @@
     pub request: Bytes,
     /// The client's deadline.
     pub deadline: Time,
-    /// How it may continue: [`Plan::Send`] or [`Plan::Again`].
+    /// How it may continue: [`Plan::Send`] or [`Plan::Repeat`].
     pub plan: Plan,
 }
 
@@ -86,7 +86,7 @@
     retry_at: Option<Time>,
     /// The step after which it may continue, or after which it has ended.
     step: u32,
-    begun: bool,
+    resumed: bool,
     over: bool,
 }
 
@@ -98,16 +98,16 @@
 }
 
 /// The takeover state of one proxy; see the module.
-pub struct Hands {
-    terms: Terms,
+pub struct Takeover {
+    settings: Settings,
     current: Option<LifeState>,
     member_list: (u64, MemberList),
     recently_ended: MemberList,
-    heirs: BTreeMap<Epoch, (Heir, Outcomes)>,
+    successors: BTreeMap<Epoch, (Successor, Outcomes)>,
     inherited: BTreeMap<u64, Inherited>,
     outputs: VecDeque<Output>,
-    /// Letters to this process itself.
-    loopback: VecDeque<Letter>,
+    /// Envelopes to this process itself.
+    loopback: VecDeque<Envelope>,
     /// Time of the next expiry check.
     expiry_check_at: Time,
 }
@@ -115,16 +115,17 @@
 /// Interval between two checks for expired records.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-impl Hands {
+impl Takeover {
     /// Creates the state of a process that has no life yet.
-    pub fn new(terms: Terms) -> Self {
-        let (current, member_list, recently_ended, heirs, inherited, outputs, loopback) = Default::default();
-        Hands {
-            terms,
+    pub fn new(settings: Settings) -> Self {
+        let (current, member_list, recently_ended, successors, inherited, outputs, loopback) =
+            Default::default();
+        Takeover {
+            settings,
             current,
             member_list,
             recently_ended,
-            heirs,
+            successors,
             inherited,
             outputs,
             loopback,
@@ -153,23 +154,23 @@
     }
 
     /// Handles a change of this process's life or of the enrolled processes.
-    pub fn turn(&mut self, now: Time, turn: EnrolmentEvent) {
-        match turn {
+    pub fn handle_enrolment(&mut self, now: Time, event: EnrolmentEvent) {
+        match event {
             EnrolmentEvent::Enrolled(life) => {
-                let Terms { drift, keepers, wait, retention, .. } = self.terms;
-                let owner = Owner::new(life, owner::Terms { keepers, wait });
-                let keeper = Keeper::new(life, keeper::Terms { drift, keepers, retention });
+                let Settings { drift, keepers, keeper_timeout, retention, .. } = self.settings;
+                let owner = Owner::new(life, owner::Settings { keepers, keeper_timeout });
+                let keeper = Keeper::new(life, keeper::Settings { drift, keepers, retention });
                 self.current = Some(LifeState { life, owner, keeper });
                 self.enrolled(now);
             }
             EnrolmentEvent::Ended(_) => {
                 let Some(current) = self.current.take() else { return };
-                self.heirs.clear();
+                self.successors.clear();
                 self.inherited.clear();
                 self.loopback.clear();
-                self.outputs.push_back(Output::Over(current.owner.all().collect()));
+                self.outputs.push_back(Output::LifeEnded(current.owner.all().collect()));
             }
-            EnrolmentEvent::BecameSuccessor(succession) => self.heir(now, succession),
+            EnrolmentEvent::BecameSuccessor(succession) => self.start_successor(now, succession),
             EnrolmentEvent::Members(number, member_list, recently_ended) => {
                 (self.member_list, self.recently_ended) = ((number, member_list), recently_ended);
                 self.enrolled(now);
@@ -188,20 +189,25 @@
         current.keeper.set_member_list(now, member_list.clone(), &self.recently_ended);
         current.owner.set_member_list(now, member_list.clone(), &mut orders);
         let mut messages = Vec::new();
-        for (heir, _) in self.heirs.values_mut() {
-            heir.set_member_list(now, number, &member_list, &mut messages);
+        for (successor, _) in self.successors.values_mut() {
+            successor.set_member_list(now, number, &member_list, &mut messages);
         }
         self.carry_out(now, orders);
         self.send_all(messages);
     }
 
-    fn heir(&mut self, now: Time, succession: Succession) {
+    fn start_successor(&mut self, now: Time, succession: Succession) {
         // Every possible keeper was enrolled when the succession was made, or is in a later list.
         let least = self.member_list.0;
-        let mut heir = Heir::new(succession.clone(), least, self.terms.drift, self.terms.at_once);
+        let mut successor = Successor::new(
+            succession.clone(),
+            least,
+            self.settings.drift,
+            self.settings.max_concurrent_resumes,
+        );
         let mut messages = Vec::new();
-        heir.set_member_list(now, self.member_list.0, &self.member_list.1.clone(), &mut messages);
-        self.heirs.insert(succession.epoch, (heir, Outcomes::default()));
+        successor.set_member_list(now, self.member_list.0, &self.member_list.1.clone(), &mut messages);
+        self.successors.insert(succession.epoch, (successor, Outcomes::default()));
         self.send_all(messages);
     }
 
@@ -215,11 +221,11 @@
     }
 
     /// Accepts a request. `None` while this process has no life.
-    pub fn take(&mut self, now: Time, record: Record, left: Duration, request: Bytes) -> Option<u64> {
-        self.with_owner(now, |owner, orders| owner.take(now, 0, record, left, request, orders))
+    pub fn accept(&mut self, now: Time, record: Record, left: Duration, request: Bytes) -> Option<u64> {
+        self.with_owner(now, |owner, orders| owner.accept(now, 0, record, left, request, orders))
     }
 
-    /// Records an attempt, which may be sent once [`Output::Clear`] names the returned step.
+    /// Records an attempt, which may be sent once [`Output::StepConfirmed`] names the returned step.
     pub fn sending(&mut self, now: Time, seq: u64, sent: Sent) -> Option<u32> {
         self.with_owner(now, |owner, orders| owner.sending(now, seq, sent, orders))?
     }
@@ -229,7 +235,7 @@
         self.with_owner(now, |owner, orders| owner.unsent(now, seq, attempt, orders));
     }
 
-    /// Records the end, which the client may be told once [`Output::Clear`] names the returned step.
+    /// Records the end, which the client may be told once [`Output::StepConfirmed`] names the returned step.
     pub fn ended(&mut self, now: Time, seq: u64, end: End) -> Option<u32> {
         let step = self.current.as_ref()?.owner.record(seq)?.step + 1;
         if let Some(inherited) = self.inherited.get_mut(&seq) {
@@ -250,25 +256,25 @@
         }
     }
 
-    /// Handles a letter of another proxy. Without the right to act it is ignored.
-    pub fn hear(&mut self, now: Time, letter: Letter, right: bool) {
-        let for_this_life = self.current.as_ref().is_some_and(|current| current.life == letter.to);
-        if for_this_life && right {
-            self.handle_letter(now, letter);
+    /// Handles an envelope of another proxy. Without the right to act it is ignored.
+    pub fn handle_envelope(&mut self, now: Time, envelope: Envelope, may_act: bool) {
+        let for_this_life = self.current.as_ref().is_some_and(|current| current.life == envelope.to);
+        if for_this_life && may_act {
+            self.process_envelope(now, envelope);
             self.deliver_loopback(now);
         }
     }
 
     fn deliver_loopback(&mut self, now: Time) {
-        while let Some(letter) = self.loopback.pop_front() {
-            self.handle_letter(now, letter);
+        while let Some(envelope) = self.loopback.pop_front() {
+            self.process_envelope(now, envelope);
         }
     }
 
-    fn handle_letter(&mut self, now: Time, letter: Letter) {
+    fn process_envelope(&mut self, now: Time, envelope: Envelope) {
         let Some(current) = self.current.as_mut().filter(|current| current.keeper.is_ready()) else { return };
-        let (from, mut orders) = (letter.from, Vec::new());
-        match letter.message {
+        let (from, mut orders) = (envelope.from, Vec::new());
+        match envelope.message {
             Message::Keep(keep) => {
                 let (seq, step) = (keep.seq, keep.record.step);
                 let (verdict, ask_also) = current.keeper.keep(now, *keep);
@@ -288,8 +294,8 @@
             }
             Message::Orphans(number, epoch, all, more) => {
                 let mut messages = Vec::new();
-                if let Some((heir, _)) = self.heirs.get_mut(&epoch) {
-                    heir.add_page(now, from, number, all, more, &mut messages);
+                if let Some((successor, _)) = self.successors.get_mut(&epoch) {
+                    successor.add_page(now, from, number, all, more, &mut messages);
                 }
                 self.send_all(messages);
             }
@@ -300,11 +306,11 @@
 
     fn send(&mut self, to: ProcessId, message: Message) {
         let Some(from) = self.current.as_ref().map(|current| current.life) else { return };
-        let letter = Letter { from, to, message };
+        let envelope = Envelope { from, to, message };
         if from == to {
-            self.loopback.push_back(letter);
+            self.loopback.push_back(envelope);
         } else if let Some(who) = self.member_list.1.get(&to) {
-            self.outputs.push_back(Output::Say(who.name.clone(), letter));
+            self.outputs.push_back(Output::Send(who.name.clone(), envelope));
         }
     }
 
@@ -316,10 +322,12 @@
         for order in orders {
             match order {
                 Order::Send(to, message) => self.send(to, message),
-                Order::Clear(seq, step) if self.inherited.contains_key(&seq) => self.cleared(seq, step),
-                Order::Clear(seq, step) => self.outputs.push_back(Output::Clear(seq, step)),
-                Order::Stop(seq, why) if self.inherited.contains_key(&seq) => self.stopped(now, seq, why),
-                Order::Stop(seq, why) => self.outputs.push_back(Output::Stop(seq, why)),
+                Order::StepConfirmed(seq, step) if self.inherited.contains_key(&seq) => {
+                    self.cleared(seq, step)
+                }
+                Order::StepConfirmed(seq, step) => self.outputs.push_back(Output::StepConfirmed(seq, step)),
+                Order::Stopped(seq, why) if self.inherited.contains_key(&seq) => self.stopped(now, seq, why),
+                Order::Stopped(seq, why) => self.outputs.push_back(Output::Stopped(seq, why)),
             }
         }
     }
@@ -327,28 +335,28 @@
     /// All keepers have stored a step of an inherited request.
     fn cleared(&mut self, seq: u64, step: u32) {
         let Some(inherited) = self.inherited.get_mut(&seq).filter(|i| i.step <= step) else {
-            return self.outputs.push_back(Output::Clear(seq, step));
+            return self.outputs.push_back(Output::StepConfirmed(seq, step));
         };
         if inherited.over {
-            self.outputs.push_back(Output::Clear(seq, step));
+            self.outputs.push_back(Output::StepConfirmed(seq, step));
             return self.finish(seq);
         }
-        if std::mem::replace(&mut inherited.begun, true) {
-            return self.outputs.push_back(Output::Clear(seq, step));
+        if std::mem::replace(&mut inherited.resumed, true) {
+            return self.outputs.push_back(Output::StepConfirmed(seq, step));
         }
         let (request, plan) = (inherited.request.clone(), inherited.plan.clone());
         let Some(current) = &self.current else { return };
         let (Some(record), Some(deadline)) = (current.owner.record(seq), current.owner.deadline(seq)) else {
             return;
         };
-        let begun = Begun { seq, record: record.clone(), request, deadline, plan };
-        self.outputs.push_back(Output::Begin(Box::new(begun)));
+        let resumed = ResumedRequest { seq, record: record.clone(), request, deadline, plan };
+        self.outputs.push_back(Output::Resume(Box::new(resumed)));
     }
 
     /// An inherited request can't continue: it is retried or dropped, depending on the reason.
-    fn stopped(&mut self, now: Time, seq: u64, why: Why) {
+    fn stopped(&mut self, now: Time, seq: u64, why: StopReason) {
         match why {
-            Why::NoKeeper | Why::Full => {
+            StopReason::NoKeeper | StopReason::Full => {
                 if let Some(inherited) = self.inherited.get_mut(&seq) {
                     inherited.retry_at = Some(now + RESEND_INTERVAL);
                 }
@@ -356,11 +364,11 @@
             // Another process has it by now, or it has ended.
             _ => {
                 if let Some((_, outcomes)) =
-                    self.inherited.get(&seq).and_then(|i| self.heirs.get_mut(&i.epoch))
+                    self.inherited.get(&seq).and_then(|i| self.successors.get_mut(&i.epoch))
                 {
                     outcomes.handled_elsewhere += 1;
                 }
-                self.outputs.push_back(Output::Stop(seq, why));
+                self.outputs.push_back(Output::Stopped(seq, why));
                 self.finish(seq);
             }
         }
@@ -369,20 +377,20 @@
     fn finish(&mut self, seq: u64) {
         self.release(seq);
         let Some(inherited) = self.inherited.remove(&seq) else { return };
-        if let Some((heir, _)) = self.heirs.get_mut(&inherited.epoch) {
-            heir.ended();
+        if let Some((successor, _)) = self.successors.get_mut(&inherited.epoch) {
+            successor.ended();
         }
     }
 
     /// Resumes inherited requests up to the concurrency limit.
     fn resume_inherited(&mut self, now: Time) {
         let mut orders = Vec::new();
-        for (epoch, (heir, outcomes)) in &mut self.heirs {
+        for (epoch, (successor, outcomes)) in &mut self.successors {
             let Some(current) = &mut self.current else { return };
-            while let Some(next) = heir.next(now) {
+            while let Some(next) = successor.next(now) {
                 let (record, request, plan) = (next.known.record, next.request, next.plan);
                 if plan == Plan::Tell {
-                    heir.ended(); // its keepers report the end to the client's retry
+                    successor.ended(); // its keepers report the end to the client's retry
                     continue;
                 }
                 let left = next.known.deadline.saturating_sub(now);
@@ -403,9 +411,9 @@
                     None => record,
                 };
                 let (step, over) = (record.step, end.is_some());
-                let seq = current.owner.take(now, *epoch, record, left, request.clone(), &mut orders);
+                let seq = current.owner.accept(now, *epoch, record, left, request.clone(), &mut orders);
                 let inherited =
-                    Inherited { epoch: *epoch, request, plan, retry_at: None, step, begun: false, over };
+                    Inherited { epoch: *epoch, request, plan, retry_at: None, step, resumed: false, over };
                 self.inherited.insert(seq, inherited);
             }
         }
@@ -414,15 +422,19 @@
     }
 
     fn settle(&mut self) {
-        let done: Vec<Epoch> =
-            self.heirs.iter().filter(|(_, (heir, _))| heir.is_settled()).map(|(epoch, _)| *epoch).collect();
+        let done: Vec<Epoch> = self
+            .successors
+            .iter()
+            .filter(|(_, (successor, _))| successor.is_settled())
+            .map(|(epoch, _)| *epoch)
+            .collect();
         for epoch in done {
-            let Some((heir, outcomes)) = self.heirs.remove(&epoch) else { continue };
+            let Some((successor, outcomes)) = self.successors.remove(&epoch) else { continue };
             let Outcomes { sent, repeated, unknown, refused, handled_elsewhere } = outcomes;
-            self.outputs.push_back(Output::Note(format!(
+            self.outputs.push_back(Output::Log(format!(
                 "takeover from '{}' finished: {} requests inherited: {sent} sent, {repeated} repeated, {unknown} unknown, \
                  {refused} refused, {handled_elsewhere} already handled elsewhere",
-                heir.succession().name, heir.inherited()
+                successor.succession().name, successor.inherited()
             )));
             self.outputs.push_back(Output::Settled(epoch));
         }
@@ -431,9 +443,9 @@
     /// The time of the next timer.
     pub fn next_due(&self) -> Option<Time> {
         let current = self.current.as_ref()?;
-        let heirs = self.heirs.values().filter_map(|(heir, _)| heir.next_due());
+        let successors = self.successors.values().filter_map(|(successor, _)| successor.next_due());
         let retries = self.inherited.values().filter_map(|i| i.retry_at);
-        heirs.chain(retries).chain(current.owner.next_due()).chain([self.expiry_check_at]).min()
+        successors.chain(retries).chain(current.owner.next_due()).chain([self.expiry_check_at]).min()
     }
 
     /// Runs the timers that are due.
@@ -445,8 +457,8 @@
             self.expiry_check_at = now + EXPIRY_CHECK_INTERVAL;
             current.keeper.fire(now);
         }
-        for (heir, _) in self.heirs.values_mut() {
-            heir.fire(now, &mut messages);
+        for (successor, _) in self.successors.values_mut() {
+            successor.fire(now, &mut messages);
         }
         self.carry_out(now, orders);
         self.send_all(messages);
--- a/crates/sandgap-takeover/tests/model.rs
+++ b/crates/sandgap-takeover/tests/model.rs
@@ -1,6 +1,6 @@
-//! An exhaustively checked model of takeover: an owner, a keeper, two heirs, a proxy that receives the client's retry,
-//! a backend and a client, with message loss, crashes, and standstills of processes (any step may be delayed for any
-//! number of ticks). For a keyed request the backend drops repeats within its dedup window.
+//! An exhaustively checked model of takeover: an owner, a keeper, two successors, a proxy that receives the client's
+//! retry, a backend and a client, with message loss, crashes, and standstills of processes (any step may be delayed for
+//! any number of ticks). For a keyed request the backend drops repeats within its dedup window.
 //!
 //! Messages between proxies may be delayed without bound or lost; a message to the backend arrives within its tick or
 //! never. The preconditions of a step are checked when it is taken, and a process may stand still after any step.
@@ -25,9 +25,9 @@
     SendBeforeKeeping,
     /// Processes do not check the lease before they send or answer.
     NoLeaseCheck,
-    /// A second heir begins without its own epoch while the first is active.
+    /// A second successor begins without its own epoch while the first is active.
     HeirWithoutEpoch,
-    /// An heir begins before old leases have ended, and the keeper does not refuse the old owner.
+    /// A successor begins before old leases have ended, and the keeper does not refuse the old owner.
     HeirTooSoon,
     /// Attempts are sent without a record.
     SentNotRecorded,
@@ -84,13 +84,13 @@
     /// When it was fenced.
     fenced: Option<u8>,
     dead: bool,
-    /// For an heir that repeats: time until which repeats are guaranteed to be dropped; 0 for no limit.
+    /// For a successor that repeats: time until which repeats are guaranteed to be dropped; 0 for no limit.
     until: u8,
 }
 
 const OWNER: usize = 0;
 const OTHER: usize = 1;
-const HEIRS: [usize; 2] = [2, 3];
+const SUCCESSORS: [usize; 2] = [2, 3];
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
@@ -100,7 +100,7 @@
     keeper: Option<(Stored, usize)>,
     /// Processes whose steps the keeper refuses.
     superseded: [bool; 4],
-    /// Heirs that have been appointed.
+    /// Successors that have been appointed.
     appointed: [bool; 4],
     /// At the backend: when the request last took effect, and how often it did.
     ran: Option<u8>,
@@ -115,10 +115,10 @@
     Renew(usize),
     Fence(usize),
     Crash(usize),
-    AppointHeir(usize),
+    AppointSuccessor(usize),
     /// The client sends its request (first to the owner, later to the other proxy).
     Request(usize),
-    /// An heir asks the keeper for the orphaned request.
+    /// A successor asks the keeper for the orphaned request.
     Collect(usize),
     /// The keeper stores a process's step, and the process receives the reply.
     Keep(usize),
@@ -135,16 +135,21 @@
         self.defect == Defect::NoLeaseCheck || state.now < state.procs[p].lease
     }
 
-    /// Whether all processes that may have acted before an heir have stopped permanently.
-    fn may_appoint(&self, state: &State, heir: usize) -> bool {
+    /// Whether all processes that may have acted before a successor have stopped permanently.
+    fn may_appoint(&self, state: &State, successor: usize) -> bool {
         let past = |p: usize| match state.procs[p].fenced {
             Some(at) => at == PAST || self.defect == Defect::HeirTooSoon,
             None => false,
         };
-        let before = if heir == HEIRS[1] { HEIRS[0] } else { OWNER };
-        let first = heir == HEIRS[0] || state.appointed[HEIRS[0]];
-        let superseded = past(before) || heir == HEIRS[1] && self.defect == Defect::HeirWithoutEpoch;
-        first && past(OWNER) && superseded && !state.appointed[heir] && state.procs[heir].fenced.is_none()
+        let before = if successor == SUCCESSORS[1] { SUCCESSORS[0] } else { OWNER };
+        let first = successor == SUCCESSORS[0] || state.appointed[SUCCESSORS[0]];
+        let superseded =
+            past(before) || successor == SUCCESSORS[1] && self.defect == Defect::HeirWithoutEpoch;
+        first
+            && past(OWNER)
+            && superseded
+            && !state.appointed[successor]
+            && state.procs[successor].fenced.is_none()
     }
 
     fn requested_store(step: Step) -> Option<(Step, Option<Stored>)> {
@@ -172,38 +177,40 @@
             None => {}
             Some((Stored::Done | Stored::Unknown, actor)) if actor != p => return false,
             Some((_, actor)) if actor == p => {}
-            // Only a later heir replaces a process that was taken over.
-            Some((_, actor)) if state.superseded[actor] && HEIRS.contains(&p) && p > actor => {}
+            // Only a later successor replaces a process that was taken over.
+            Some((_, actor)) if state.superseded[actor] && SUCCESSORS.contains(&p) && p > actor => {}
             Some(_) if self.defect == Defect::HeirTooSoon => {}
-            // Without epochs the keeper can't distinguish heirs.
+            // Without epochs the keeper can't distinguish successors.
             Some((_, actor))
                 if self.defect == Defect::HeirWithoutEpoch
-                    && HEIRS.contains(&p)
-                    && HEIRS.contains(&actor) => {}
+                    && SUCCESSORS.contains(&p)
+                    && SUCCESSORS.contains(&actor) => {}
             Some(_) => return false,
         }
         state.keeper = Some((stored, p));
         true
     }
 
-    fn collect(&self, state: &mut State, heir: usize) {
-        for before in [OWNER, HEIRS[0]] {
+    fn collect(&self, state: &mut State, successor: usize) {
+        for before in [OWNER, SUCCESSORS[0]] {
             // Without an epoch the keeper can't recognize a successor, and refuses no process.
-            if before != heir && self.defect != Defect::HeirTooSoon && self.defect != Defect::HeirWithoutEpoch
+            if before != successor
+                && self.defect != Defect::HeirTooSoon
+                && self.defect != Defect::HeirWithoutEpoch
             {
                 state.superseded[before] = true;
             }
         }
-        let may_inherit = |actor: usize| actor == OWNER || actor == HEIRS[0];
-        state.procs[heir].step = match state.keeper {
+        let may_inherit = |actor: usize| actor == OWNER || actor == SUCCESSORS[0];
+        state.procs[successor].step = match state.keeper {
             Some((stored, actor)) if may_inherit(actor) => {
                 if self.defect == Defect::HeirTooSoon || self.defect == Defect::HeirWithoutEpoch {
-                    state.keeper = Some((stored, heir));
+                    state.keeper = Some((stored, successor));
                 }
                 match stored {
                     Stored::Taken => Step::Taken,
                     Stored::Sent(until) if self.keyed && state.now < until => {
-                        state.procs[heir].until = until;
+                        state.procs[successor].until = until;
                         Step::Taken
                     }
                     Stored::Sent(_) => Step::GivesUp,
@@ -291,16 +298,20 @@
             if proc.fenced.is_none() && proc.lease < state.now + LEASE && proc.step != Step::Over {
                 acts.push(Action::Renew(p));
             }
-            if p != HEIRS[1] && p != OTHER && proc.fenced.is_none() {
+            if p != SUCCESSORS[1] && p != OTHER && proc.fenced.is_none() {
                 acts.push(Action::Fence(p));
             }
-            if p == OWNER || p == HEIRS[0] {
+            if p == OWNER || p == SUCCESSORS[0] {
                 acts.push(Action::Crash(p));
             }
             if p < 2 && proc.step == Step::Idle {
                 acts.push(Action::Request(p));
             }
-            if HEIRS.contains(&p) && state.appointed[p] && proc.step == Step::Idle && self.leased(state, p) {
+            if SUCCESSORS.contains(&p)
+                && state.appointed[p]
+                && proc.step == Step::Idle
+                && self.leased(state, p)
+            {
                 acts.push(Action::Collect(p));
             }
             if Self::requested_store(proc.step).is_some() {
@@ -310,7 +321,8 @@
                 acts.push(Action::Next(p));
             }
             if proc.step == Step::MaySend && self.leased(state, p) {
-                // The window is checked again at the first byte: it may have ended since the heir collected the request.
+                // The window is checked again at the first byte: it may have ended since the successor collected the
+                // request.
                 let dropped = proc.until == 0 || state.now < proc.until;
                 acts.extend(
                     [true, false]
@@ -323,7 +335,9 @@
                 acts.push(Action::Tell(p));
             }
         }
-        acts.extend(HEIRS.into_iter().filter(|h| self.may_appoint(state, *h)).map(Action::AppointHeir));
+        acts.extend(
+            SUCCESSORS.into_iter().filter(|h| self.may_appoint(state, *h)).map(Action::AppointSuccessor),
+        );
         if matches!(state.keeper, Some((Stored::Done | Stored::Unknown, _))) {
             acts.push(Action::Retry);
         }
@@ -336,9 +350,9 @@
             Action::Renew(p) => state.procs[p].lease = state.now + LEASE,
             Action::Fence(p) => state.procs[p].fenced = Some(state.now),
             Action::Crash(p) => state.procs[p].dead = true,
-            Action::AppointHeir(heir) => state.appointed[heir] = true,
+            Action::AppointSuccessor(successor) => state.appointed[successor] = true,
             Action::Request(p) => state.procs[p].step = Step::Asks,
-            Action::Collect(heir) => self.collect(&mut state, heir),
+            Action::Collect(successor) => self.collect(&mut state, successor),
             Action::Keep(p) => {
                 let (next, stored) = Self::requested_store(state.procs[p].step)?;
                 let kept = stored.is_none_or(|stored| self.keep(&mut state, p, stored));
@@ -372,14 +386,14 @@
         vec![
             Property::always(AT_MOST_ONCE, |_: &Takeover, state: &State| state.runs <= 1),
             Property::always(ONE_ANSWER, |_: &Takeover, state: &State| state.told != (true, true)),
-            Property::sometimes("an heir's answer is told", |_, state: &State| {
-                state.told.0 && HEIRS.into_iter().any(|h| state.procs[h].step == Step::Over)
+            Property::sometimes("a successor's answer is told", |_, state: &State| {
+                state.told.0 && SUCCESSORS.into_iter().any(|h| state.procs[h].step == Step::Over)
             }),
             Property::sometimes("the client is told that the outcome is unknown", |_, state: &State| {
                 state.told.1
             }),
-            Property::sometimes("the second heir ends it", |_, state: &State| {
-                state.procs[HEIRS[1]].step == Step::Over && state.told != (false, false)
+            Property::sometimes("the second successor ends it", |_, state: &State| {
+                state.procs[SUCCESSORS[1]].step == Step::Over && state.told != (false, false)
             }),
         ]
     }
@@ -397,9 +411,9 @@
             println!("{}", checker.discovery(rule).expect("just seen"));
         }
         for reachable in [
-            "an heir's answer is told",
+            "a successor's answer is told",
             "the client is told that the outcome is unknown",
-            "the second heir ends it",
+            "the second successor ends it",
         ] {
             checker.assert_any_discovery(reachable);
         }
@@ -419,8 +433,8 @@
 
 #[test]
 fn each_of_six_defects_is_caught() {
-    // Leases and keepers each stop an old owner. So an heir that begins too soon is caught only with keepers that do
-    // not refuse the old owner, and an unchecked lease only if repeats are allowed.
+    // Leases and keepers each stop an old owner. So a successor that begins too soon is caught only with keepers that
+    // do not refuse the old owner, and an unchecked lease only if repeats are allowed.
     for defect in [
         Defect::SendBeforeKeeping,
         Defect::NoLeaseCheck,
