--- a/crates/sandgap-driver/src/closings.rs
+++ b/crates/sandgap-driver/src/closings.rs
@@ -16,7 +16,7 @@
     /// When the closing was announced.
     closed_at: Time,
     /// Start time of the process that was closed.
-    born_ms: f64,
+    start_time_ms: f64,
     /// Entry of an uncertain list that says that the backend accepts requests again.
     deferred: Option<Host>,
 }
@@ -26,11 +26,11 @@
 pub(crate) struct Closings(FxHashMap<BackendId, Closing>);
 
 impl Closings {
-    /// Records that a backend drains or is gone; `born_ms` may be 0 if the list entry lacks the start time.
-    pub(crate) fn record_closing(&mut self, now: Time, id: BackendId, born_ms: f64) {
-        let known = self.0.get(&id).map_or(0.0, |closing| closing.born_ms);
-        let born_ms = born_ms.max(known);
-        self.0.insert(id, Closing { closed_at: now, born_ms, deferred: None });
+    /// Records that a backend drains or is gone; `start_time_ms` may be 0 if the list entry lacks the start time.
+    pub(crate) fn record_closing(&mut self, now: Time, id: BackendId, start_time_ms: f64) {
+        let known = self.0.get(&id).map_or(0.0, |closing| closing.start_time_ms);
+        let start_time_ms = start_time_ms.max(known);
+        self.0.insert(id, Closing { closed_at: now, start_time_ms, deferred: None });
     }
 
     /// Records that a certainly newer list says that the backend accepts requests.
@@ -43,7 +43,7 @@
     pub(crate) fn defer_opening(&mut self, now: Time, id: BackendId, host: &Host) -> Option<Time> {
         let closing = self.0.get_mut(&id)?;
         let effective_at = closing.closed_at + REOPEN_AFTER;
-        if now >= effective_at || host.born_ms > closing.born_ms {
+        if now >= effective_at || host.start_time_ms > closing.start_time_ms {
             self.0.remove(&id);
             return None;
         }
--- a/crates/sandgap-driver/src/core.rs
+++ b/crates/sandgap-driver/src/core.rs
@@ -48,24 +48,24 @@
 /// The core calls the methods in the order in which they are to take effect. None may call back into the core.
 pub trait Effects {
     /// Data that the implementer keeps with a request until it is answered and its last attempt has ended.
-    type Held;
+    type Context;
     /// A backend's complete answer.
     type Reply;
 
     /// Starts an attempt. The implementer of this trait has to see to it that [`Core::ended`] is called exactly once for
     /// it, after this method has returned.
-    fn attempt(&mut self, held: &Self::Held, attempt: Attempt);
+    fn attempt(&mut self, context: &Self::Context, attempt: Attempt);
     /// Gives a request its only answer.
     fn answer(
-        &mut self, held: &mut Self::Held, request: RequestId, answer: Answer<Self::Reply>, cause: Cause,
+        &mut self, context: &mut Self::Context, request: RequestId, answer: Answer<Self::Reply>, cause: Cause,
     );
     /// Whether the lease under which the request was accepted still holds, or it needs none; called before each attempt.
     /// If it does not hold, the attempt is denied and the request is answered at once.
-    fn may_send(&self, _held: &Self::Held) -> bool {
+    fn may_send(&self, _context: &Self::Context) -> bool {
         true
     }
     /// Whether a request can't be sent again because part of its body was sent and not buffered.
-    fn is_body_consumed(&self, _held: &Self::Held) -> bool {
+    fn is_body_consumed(&self, _context: &Self::Context) -> bool {
         false
     }
     /// An endpoint gets no new attempts because it is draining, gone or replaced; resources kept for it can be released.
@@ -144,8 +144,8 @@
     /// Only for a long request, which is forwarded while it is still being received: how long the client waits after
     /// having sent its last byte. A length of time, not a point in time; see [`Core::received`].
     pub upload: Option<Time>,
-    /// Data kept with the request, see [`Effects::Held`].
-    pub held: H,
+    /// Data kept with the request, see [`Effects::Context`].
+    pub context: H,
 }
 
 /// An attempt to be started.
@@ -175,7 +175,7 @@
     open: bool,
     /// Same as `open`, shared with attempts in flight.
     wanted: Rc<Cell<bool>>,
-    held: H,
+    context: H,
     effect: Effect,
     deadline: Time,
     /// See [`Attempt::answer_by`]: the deadline minus [`ANSWER_MARGIN`], shared with attempts in flight.
@@ -222,7 +222,7 @@
     endpoints: FxHashMap<BackendId, Rc<Endpoint>>,
     /// Number of the newest endpoint.
     last_endpoint_number: u64,
-    pending: FxHashMap<RequestId, PendingRequest<O::Held>>,
+    pending: FxHashMap<RequestId, PendingRequest<O::Context>>,
     timers: BinaryHeap<Reverse<(Time, TimerKind)>>,
     actions: Vec<Action>,
     /// The time of the event that is being handled.
@@ -264,9 +264,10 @@
         self.pending.len()
     }
 
-    /// The data kept with a request, see [`Effects::Held`]; `None` once it is answered and has no attempts in flight.
-    pub fn context(&self, request: RequestId) -> Option<&O::Held> {
-        self.pending.get(&request).map(|pending| &pending.held)
+    /// The data kept with a request, see [`Effects::Context`]; `None` once it is answered and has no attempts in
+    /// flight.
+    pub fn context(&self, request: RequestId) -> Option<&O::Context> {
+        self.pending.get(&request).map(|pending| &pending.context)
     }
 
     /// The policy.
@@ -296,7 +297,7 @@
     }
 
     /// Attempts in flight at all listed backends.
-    pub fn held_at_all(&self) -> u32 {
+    pub fn in_flight_at_all(&self) -> u32 {
         self.endpoints.values().map(|e| e.in_flight()).sum()
     }
 
@@ -327,8 +328,8 @@
     }
 
     /// A request has arrived: complete, or a long one that is still being received ([`Arrival::upload`]).
-    pub fn request(&mut self, now: Time, arrival: Arrival<O::Held>) {
-        let Arrival { id, class, effect, tenant, key, hint, deadline, upload, held } = arrival;
+    pub fn request(&mut self, now: Time, arrival: Arrival<O::Context>) {
+        let Arrival { id, class, effect, tenant, key, hint, deadline, upload, context } = arrival;
         let deadline = self.limit_to_shutdown(deadline);
         let last = deadline.saturating_sub(ANSWER_MARGIN);
         let budget = to_ms(last.saturating_sub(now));
@@ -338,7 +339,7 @@
         let pending = PendingRequest {
             open: true,
             wanted,
-            held,
+            context,
             effect,
             deadline,
             answer_by,
@@ -438,7 +439,7 @@
     ) {
         let Some(pending) = self.pending.get(&request) else { return };
         if pending.open && pending.upload.is_some() {
-            let is_consumed = outcome != Outcome::Served && self.effects.is_body_consumed(&pending.held);
+            let is_consumed = outcome != Outcome::Served && self.effects.is_body_consumed(&pending.context);
             if pending.uploading || is_consumed {
                 self.end_upload(now, request, is_consumed);
             }
@@ -476,7 +477,7 @@
             let id = BackendId(number_of(&host.host));
             match host.state() {
                 State::Up => self.closings.record_opening(id),
-                State::Draining | State::Gone => self.record_closing(now, id, host.born_ms),
+                State::Draining | State::Gone => self.record_closing(now, id, host.start_time_ms),
             }
         }
         self.apply_list(now, scope, hosts);
@@ -491,9 +492,9 @@
     }
 
     /// Records that a backend drains or is gone; the list entry may lack its start time.
-    fn record_closing(&mut self, now: Time, id: BackendId, born_ms: f64) {
-        let known = self.endpoints.get(&id).map_or(0.0, |endpoint| endpoint.born_ms);
-        self.closings.record_closing(now, id, born_ms.max(known));
+    fn record_closing(&mut self, now: Time, id: BackendId, start_time_ms: f64) {
+        let known = self.endpoints.get(&id).map_or(0.0, |endpoint| endpoint.start_time_ms);
+        self.closings.record_closing(now, id, start_time_ms.max(known));
     }
 
     /// Changes an entry of an uncertain list to what may be applied now. An entry about an older process than the known one
@@ -501,12 +502,13 @@
     fn adjust_uncertain_entry(&mut self, now: Time, mut host: Host) -> Host {
         let id = BackendId(number_of(&host.host));
         if host.state() != State::Up {
-            self.record_closing(now, id, host.born_ms);
+            self.record_closing(now, id, host.start_time_ms);
             return host;
         }
         // The entry is about an older process than the known one, whose address and state it must not replace.
-        if let Some(known) = self.endpoints.get(&id).filter(|known| known.born_ms > host.born_ms) {
-            (host.dial, host.born_ms) = (Some(known.address), known.born_ms);
+        if let Some(known) = self.endpoints.get(&id).filter(|known| known.start_time_ms > host.start_time_ms)
+        {
+            (host.address, host.start_time_ms) = (Some(known.address), known.start_time_ms);
             host.health = if known.is_open() { UP } else { DRAINING }.into();
             return host;
         }
@@ -535,7 +537,7 @@
                 let stays = listed.contains(id);
                 if !stays {
                     close_endpoint(endpoint, effects);
-                    closings.record_closing(now, *id, endpoint.born_ms);
+                    closings.record_closing(now, *id, endpoint.start_time_ms);
                 }
                 stays
             });
@@ -568,11 +570,11 @@
     }
 
     /// Marks an unanswered request as answered and answers it; no further attempts start for it.
-    fn close(&mut self, id: RequestId, answer: impl FnOnce(&mut O, &mut O::Held)) -> bool {
+    fn close(&mut self, id: RequestId, answer: impl FnOnce(&mut O, &mut O::Context)) -> bool {
         let Some(pending) = self.pending.get_mut(&id).filter(|p| p.open) else { return false };
         pending.open = false;
         pending.wanted.set(false);
-        answer(&mut self.effects, &mut pending.held);
+        answer(&mut self.effects, &mut pending.context);
         self.remove_if_done(id);
         true
     }
@@ -595,7 +597,7 @@
                 Answer::Failed
             }
         };
-        self.close(id, |effects, held| effects.answer(held, id, answer, cause))
+        self.close(id, |effects, context| effects.answer(context, id, answer, cause))
     }
 
     /// Answers a request that may not be sent any more: refused if the attempt that has just been denied was its first,
@@ -619,14 +621,14 @@
     fn update_backend(&mut self, now: Time, host: Host) -> Backend {
         let id = BackendId(number_of(&host.host));
         let state = host.state();
-        let zone = host.site.and_then(|z| Some(ZoneId(bounded_index_of(&mut self.names.zones, &z)?)));
-        let cell = host.block.map(CellId);
-        if let Some(address) = host.dial {
-            let same = |e: &Rc<Endpoint>| e.address == address && e.born_ms == host.born_ms;
+        let zone = host.zone.and_then(|z| Some(ZoneId(bounded_index_of(&mut self.names.zones, &z)?)));
+        let cell = host.cell.map(CellId);
+        if let Some(address) = host.address {
+            let same = |e: &Rc<Endpoint>| e.address == address && e.start_time_ms == host.start_time_ms;
             if !self.endpoints.get(&id).is_some_and(same) {
                 self.last_endpoint_number += 1;
                 let old = self.endpoints.get(&id).map(|e| &**e);
-                let endpoint = Endpoint::after(old, self.last_endpoint_number, address, host.born_ms);
+                let endpoint = Endpoint::after(old, self.last_endpoint_number, address, host.start_time_ms);
                 if let Some(old) = self.endpoints.insert(id, endpoint) {
                     close_endpoint(&old, &mut self.effects);
                 }
@@ -645,11 +647,11 @@
         Backend {
             id,
             zone,
-            kind: host.class.and_then(|k| Some(KindId(bounded_index_of(&mut self.names.kinds, &k)?))),
+            kind: host.kind.and_then(|k| Some(KindId(bounded_index_of(&mut self.names.kinds, &k)?))),
             cell,
             state,
-            rating: host.share.unwrap_or(1.0),
-            since: self.starts.started_at(now, id, host.born_ms),
+            rating: host.rating.unwrap_or(1.0),
+            since: self.starts.started_at(now, id, host.start_time_ms),
         }
     }
 
@@ -707,7 +709,7 @@
 
     /// Checks whether an attempt of a request may start at a backend now.
     fn may_begin(
-        &self, request: &PendingRequest<O::Held>, backend: BackendId,
+        &self, request: &PendingRequest<O::Context>, backend: BackendId,
     ) -> Result<Rc<Endpoint>, Denial> {
         let endpoint = self.endpoints.get(&backend).ok_or(Denial::EndpointClosed)?;
         let is_still_received = request.upload.is_some() && request.received.is_none();
@@ -715,7 +717,7 @@
         let facts = SendFacts {
             wanted: request.open,
             endpoint_open: endpoint.is_open(),
-            lease_holds: self.effects.may_send(&request.held),
+            lease_holds: self.effects.may_send(&request.context),
             time_left: deadline.saturating_sub(self.now),
             repeat_dropped: true,     // may_repeat checks this after may_send
             head_age: Duration::ZERO, // there is no head yet
@@ -752,7 +754,7 @@
         let (wanted, answer_by) = (pending.wanted.clone(), pending.answer_by.clone());
         let write_before = before.map(from_ms);
         let attempt = Attempt { request, number, endpoint, wanted, until, answer_by, write_before };
-        self.effects.attempt(&pending.held, attempt);
+        self.effects.attempt(&pending.context, attempt);
     }
 
     /// Denies an attempt that the policy requested.
--- a/crates/sandgap-driver/src/core/tests.rs
+++ b/crates/sandgap-driver/src/core/tests.rs
@@ -33,7 +33,7 @@
 }
 
 impl Effects for RecordedEffects {
-    type Held = ();
+    type Context = ();
     type Reply = &'static str;
 
     fn attempt(&mut self, (): &(), attempt: Attempt) {
@@ -76,20 +76,20 @@
 fn host(name: &str, port: u16, health: &str) -> Host {
     Host {
         host: name.to_owned(),
-        dial: Some(([127, 0, 0, 1], port).into()),
-        site: None,
-        class: None,
-        block: None,
+        address: Some(([127, 0, 0, 1], port).into()),
+        zone: None,
+        kind: None,
+        cell: None,
         health: health.to_owned(),
-        share: None,
-        born_ms: 0.0,
+        rating: None,
+        start_time_ms: 0.0,
     }
 }
 
 fn arrival(id: u64, deadline: Time) -> Arrival<()> {
     let (class, id) = (ClassId(0), RequestId(id));
     let effect = Effect::Safe;
-    Arrival { id, class, effect, tenant: None, key: None, hint: None, deadline, upload: None, held: () }
+    Arrival { id, class, effect, tenant: None, key: None, hint: None, deadline, upload: None, context: () }
 }
 
 fn send(id: u64, name: &str) -> Action {
@@ -370,8 +370,8 @@
         let mut core = core();
         core.list(at(60_000), Scope::Delta, vec![host("a", 1, "draining")]);
         // It starts at 60,500 ms of true time and is listed at 60,700 ms.
-        let born_ms = UNIX_ZERO - ahead + 60_500.0;
-        let started = Host { born_ms, ..host("c", 3, "up") };
+        let start_time_ms = UNIX_ZERO - ahead + 60_500.0;
+        let started = Host { start_time_ms, ..host("c", 3, "up") };
         core.list(at(60_700), Scope::Delta, vec![started.clone()]);
         let first = since(&core, "c").expect("listed");
         assert!((60_000.0..=60_700.0).contains(&first), "wall clock {ahead} ms ahead: start time {first}");
--- a/crates/sandgap-driver/src/core/tests/reopening.rs
+++ b/crates/sandgap-driver/src/core/tests/reopening.rs
@@ -12,8 +12,8 @@
     core.endpoints.get(&id(name)).is_some_and(|e| e.is_open())
 }
 
-fn host_born_at(name: &str, port: u16, health: &str, born_ms: f64) -> Host {
-    Host { born_ms, ..host(name, port, health) }
+fn host_started_at(name: &str, port: u16, health: &str, start_time_ms: f64) -> Host {
+    Host { start_time_ms, ..host(name, port, health) }
 }
 
 #[test]
@@ -49,10 +49,10 @@
 #[test]
 fn a_new_process_is_opened_at_once_and_an_entry_of_an_older_one_does_not_replace_it() {
     let mut core = core();
-    core.list(at(1000), Scope::Delta, vec![host_born_at("a", 1, "draining", 100.0)]);
-    core.uncertain_list(at(2000), Scope::Delta, vec![host_born_at("a", 3, "up", 200.0)]);
+    core.list(at(1000), Scope::Delta, vec![host_started_at("a", 1, "draining", 100.0)]);
+    core.uncertain_list(at(2000), Scope::Delta, vec![host_started_at("a", 3, "up", 200.0)]);
     assert!(is_open(&core, "a"));
-    core.uncertain_list(at(3000), Scope::Full, vec![host_born_at("a", 1, "up", 100.0)]);
+    core.uncertain_list(at(3000), Scope::Full, vec![host_started_at("a", 1, "up", 100.0)]);
     assert_eq!(core.address(id("a")).map(|a| a.port()), Some(3));
     assert!(is_open(&core, "a"));
 }
@@ -60,9 +60,9 @@
 #[test]
 fn a_closing_without_a_start_time_applies_to_the_known_process() {
     let mut core = core();
-    core.list(at(1000), Scope::Delta, vec![host_born_at("a", 1, "up", 100.0)]);
-    core.list(at(2000), Scope::Delta, vec![host_born_at("a", 1, "removed", 0.0)]);
-    core.uncertain_list(at(3000), Scope::Delta, vec![host_born_at("a", 1, "up", 100.0)]);
+    core.list(at(1000), Scope::Delta, vec![host_started_at("a", 1, "up", 100.0)]);
+    core.list(at(2000), Scope::Delta, vec![host_started_at("a", 1, "removed", 0.0)]);
+    core.uncertain_list(at(3000), Scope::Delta, vec![host_started_at("a", 1, "up", 100.0)]);
     assert!(!is_open(&core, "a"));
 }
 
--- a/crates/sandgap-driver/src/endpoint.rs
+++ b/crates/sandgap-driver/src/endpoint.rs
@@ -8,26 +8,27 @@
 
 use crate::permit::Place;
 
-/// One entry of the list of backends. The field names are those of discovery's JSON.
+/// One entry of the list of backends. In discovery's JSON the fields are `host`, `dial`, `site`, `class`, `block`,
+/// `health`, `share` and `born_ms`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
     /// Host name, the same at every proxy.
     pub host: String,
     /// Address to connect to; `None` if it can't be parsed.
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Zone of the backend.
-    pub site: Option<String>,
+    pub zone: Option<String>,
     /// Kind of machine that the backend runs on.
-    pub class: Option<String>,
+    pub kind: Option<String>,
     /// Cell of the backend.
-    pub block: Option<u64>,
+    pub cell: Option<u64>,
     /// State: `up`, `draining` or `removed`. Any other text counts as `draining`.
     pub health: String,
     /// Rating of the backend's capacity; 1 if it is missing.
-    pub share: Option<f64>,
+    pub rating: Option<f64>,
     /// Unix time in milliseconds at which the backend's process started. 0 if unknown; it is then taken to have started
     /// long ago.
-    pub born_ms: f64,
+    pub start_time_ms: f64,
 }
 
 /// Health of a backend that accepts requests.
@@ -41,7 +42,7 @@
     /// The state that the entry describes; a backend with an unknown health or address gets no requests.
     pub(crate) fn state(&self) -> State {
         match self.health.as_str() {
-            UP if self.dial.is_some() => State::Up,
+            UP if self.address.is_some() => State::Up,
             REMOVED => State::Gone,
             _ => State::Draining,
         }
@@ -54,8 +55,8 @@
     pub number: u64,
     /// Address to connect to.
     pub address: SocketAddr,
-    /// Start time of the process, see [`Host::born_ms`].
-    pub born_ms: f64,
+    /// Start time of the process, see [`Host::start_time_ms`].
+    pub start_time_ms: f64,
     open: Cell<bool>,
     place: Cell<Place>,
     counts: Rc<Counts>,
@@ -89,15 +90,15 @@
 
 impl Endpoint {
     /// Creates an endpoint that accepts requests.
-    pub fn new(number: u64, address: SocketAddr, born_ms: f64) -> Rc<Self> {
-        Endpoint::after(None, number, address, born_ms)
+    pub fn new(number: u64, address: SocketAddr, start_time_ms: f64) -> Rc<Self> {
+        Endpoint::after(None, number, address, start_time_ms)
     }
 
     /// Creates an endpoint that replaces `old` of the same backend and continues its counts.
-    pub fn after(old: Option<&Self>, number: u64, address: SocketAddr, born_ms: f64) -> Rc<Self> {
+    pub fn after(old: Option<&Self>, number: u64, address: SocketAddr, start_time_ms: f64) -> Rc<Self> {
         let counts = old.map(|o| o.counts.clone()).unwrap_or_default();
         let (open, place) = (Cell::new(true), Cell::default());
-        Rc::new(Endpoint { number, address, born_ms, open, place, counts })
+        Rc::new(Endpoint { number, address, start_time_ms, open, place, counts })
     }
 
     /// Counts a new attempt.
--- a/crates/sandgap-driver/src/list_order.rs
+++ b/crates/sandgap-driver/src/list_order.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct ListOrder {
     /// Version from which a watch resumes.
-    held: Option<u64>,
+    resume_version: Option<u64>,
     /// Version of the last accepted list, also if it came after a gap.
     last_version: u64,
     /// When a list was last accepted.
@@ -55,22 +55,22 @@
 impl ListOrder {
     /// State before the first list of an address; `follows_other_address` if another address has delivered lists before.
     pub fn new(follows_other_address: bool) -> Self {
-        ListOrder { held: None, last_version: 0, accepted_at: Time::ZERO, follows_other_address }
+        ListOrder { resume_version: None, last_version: 0, accepted_at: Time::ZERO, follows_other_address }
     }
 
     /// Version from which a watch resumes.
-    pub fn held(&self) -> Option<u64> {
-        self.held
+    pub fn resume_version(&self) -> Option<u64> {
+        self.resume_version
     }
 
     /// Discards the version, so that the next list has to be a whole one.
     pub fn forget(&mut self) {
-        self.held = None;
+        self.resume_version = None;
     }
 
     /// Compares a received list with what is known, and records it.
     pub fn compare(&mut self, now: Time, list: ReceivedList) -> Verdict {
-        let Some(held) = self.held else { return self.judge_first(now, list) };
+        let Some(resume_version) = self.resume_version else { return self.judge_first_list(now, list) };
         let is_newer = list.version > self.last_version || list.whole && list.version == self.last_version;
         if is_newer {
             self.accept(now, list);
@@ -80,16 +80,16 @@
             self.accept(now, list);
             return Verdict::Uncertain { refetch: false };
         }
-        if list.version < held {
+        if list.version < resume_version {
             return Verdict::Uncertain { refetch: true };
         }
         if list.whole || !list.after_gap {
-            self.held = Some(list.version);
+            self.resume_version = Some(list.version);
         }
         if list.empty && !list.whole { Verdict::Unchanged } else { Verdict::Uncertain { refetch: false } }
     }
 
-    fn judge_first(&mut self, now: Time, list: ReceivedList) -> Verdict {
+    fn judge_first_list(&mut self, now: Time, list: ReceivedList) -> Verdict {
         if !list.whole {
             return Verdict::MissingBase;
         }
@@ -102,7 +102,7 @@
         self.last_version = list.version;
         self.accepted_at = now;
         if list.whole || !list.after_gap {
-            self.held = Some(list.version);
+            self.resume_version = Some(list.version);
         }
     }
 }
--- a/crates/sandgap-driver/src/list_order/tests.rs
+++ b/crates/sandgap-driver/src/list_order/tests.rs
@@ -30,7 +30,7 @@
     let mut order = order_at_version_41();
     assert_eq!(order.compare(at(200), changes(43)), Verdict::Newer);
     assert_eq!(order.compare(at(300), whole(43, 250)), Verdict::Newer);
-    assert_eq!(order.held(), Some(43));
+    assert_eq!(order.resume_version(), Some(43));
     assert_eq!(order.compare(at(400), ReceivedList { empty: true, ..changes(43) }), Verdict::Unchanged);
     assert_eq!(
         order.compare(at(500), changes(43)),
@@ -43,7 +43,7 @@
 fn a_service_that_restarted_its_versions_is_accepted_on_a_later_call() {
     let mut order = order_at_version_41();
     assert_eq!(order.compare(at(300), whole(1, 200)), UNCERTAIN);
-    assert_eq!(order.held(), Some(1));
+    assert_eq!(order.resume_version(), Some(1));
     assert_eq!(order.compare(at(400), changes(2)), Verdict::Newer);
 }
 
@@ -53,7 +53,7 @@
     assert_eq!(order.compare(at(200), whole(1, 0)), ASK_AGAIN);
     assert_eq!(order.compare(at(200), changes(2)), ASK_AGAIN);
     assert_eq!(order.compare(at(200), ReceivedList { empty: true, ..changes(2) }), ASK_AGAIN);
-    assert_eq!(order.held(), Some(41), "the version from which a watch resumes is unchanged");
+    assert_eq!(order.resume_version(), Some(41), "the version from which a watch resumes is unchanged");
     assert_eq!(order.compare(at(300), whole(2, 250)), UNCERTAIN, "the answer to the new fetch");
 }
 
@@ -62,10 +62,10 @@
     let mut order = order_at_version_41();
     let drain = ReceivedList { after_gap: true, ..changes(43) };
     assert_eq!(order.compare(at(200), drain), Verdict::Newer);
-    assert_eq!(order.held(), Some(41), "the watch resumes before the gap");
+    assert_eq!(order.resume_version(), Some(41), "the watch resumes before the gap");
     assert_eq!(order.compare(at(300), whole(42, 150)), UNCERTAIN);
     assert_eq!(order.compare(at(310), changes(43)), UNCERTAIN, "repeated by the resumed watch");
-    assert_eq!(order.held(), Some(43));
+    assert_eq!(order.resume_version(), Some(43));
     assert_eq!(order.compare(at(400), changes(44)), Verdict::Newer);
 }
 
--- a/crates/sandgap-driver/src/starts.rs
+++ b/crates/sandgap-driver/src/starts.rs
@@ -15,7 +15,7 @@
 /// Start of one process of a backend.
 struct Start {
     /// Unix time from the list.
-    born_ms: Millis,
+    start_time_ms: Millis,
     /// Time on the proxy's own clock.
     started_at: Millis,
 }
@@ -39,18 +39,20 @@
         self.complete_at = Some(now);
     }
 
-    /// When a backend started, from `born_ms` of a list that arrives now; `None` for long ago.
-    pub(crate) fn started_at(&mut self, now: Time, backend: BackendId, born_ms: Millis) -> Option<Millis> {
-        if !born_ms.is_finite() || born_ms <= 0.0 {
+    /// When a backend started, from `start_time_ms` of a list that arrives now; `None` for long ago.
+    pub(crate) fn started_at(
+        &mut self, now: Time, backend: BackendId, start_time_ms: Millis,
+    ) -> Option<Millis> {
+        if !start_time_ms.is_finite() || start_time_ms <= 0.0 {
             return None;
         }
-        if let Some(start) = self.known.get(&backend).filter(|s| s.born_ms == born_ms) {
+        if let Some(start) = self.known.get(&backend).filter(|s| s.start_time_ms == start_time_ms) {
             return Some(start.started_at);
         }
         let ms = |time: Time| time.as_secs_f64() * 1000.0;
         let earliest = self.complete_at.map_or(f64::NEG_INFINITY, ms);
-        let started_at = (born_ms - self.unix_zero).clamp(earliest, ms(now).max(earliest));
-        self.known.insert(backend, Start { born_ms, started_at });
+        let started_at = (start_time_ms - self.unix_zero).clamp(earliest, ms(now).max(earliest));
+        self.known.insert(backend, Start { start_time_ms, started_at });
         Some(started_at)
     }
 
--- a/crates/sandgap-lab/src/fleet/client.rs
+++ b/crates/sandgap-lab/src/fleet/client.rs
@@ -161,7 +161,7 @@
             key: None,
             hint: None,
             deadline: duration(r.deadline),
-            held: (),
+            context: (),
         };
         proxy.core.request(duration(now), arrival);
         self.apply_commands(now, p);
--- a/crates/sandgap-lab/src/fleet/discovery.rs
+++ b/crates/sandgap-lab/src/fleet/discovery.rs
@@ -126,13 +126,13 @@
         let server = &self.servers[s as usize];
         Host {
             host: server.name.clone(),
-            dial: Some(address(s)),
-            site: server.zone.map(|z| self.experiment.fleet.zones[z].clone()),
-            class: self.experiment.servers[server.group].kind.clone(),
-            block: Some(u64::from(server.cell)),
+            address: Some(address(s)),
+            zone: server.zone.map(|z| self.experiment.fleet.zones[z].clone()),
+            kind: self.experiment.servers[server.group].kind.clone(),
+            cell: Some(u64::from(server.cell)),
             health: health.to_owned(),
-            share: Some(server.rating),
-            born_ms: server.born_ms,
+            rating: Some(server.rating),
+            start_time_ms: server.born_ms,
         }
     }
 
--- a/crates/sandgap-lab/src/proxy.rs
+++ b/crates/sandgap-lab/src/proxy.rs
@@ -33,7 +33,7 @@
 }
 
 impl Effects for CommandQueue {
-    type Held = ();
+    type Context = ();
     type Reply = u32;
 
     fn attempt(&mut self, (): &(), attempt: Attempt) {
--- a/crates/sandgap/src/discovery/mod.rs
+++ b/crates/sandgap/src/discovery/mod.rs
@@ -34,19 +34,19 @@
         note!(warn: "discovery: an entry has no name; it is ignored");
         return None;
     };
-    let dial = entry["dial"].as_str().and_then(|d| d.parse().ok());
-    if dial.is_none() && entry["health"] != "removed" {
+    let address = entry["dial"].as_str().and_then(|d| d.parse().ok());
+    if address.is_none() && entry["health"] != "removed" {
         note!(warn: "discovery: {host} has no address");
     }
     Some(Host {
         host,
-        dial,
-        site: text("site"),
-        class: text("class"),
-        block: entry["block"].as_u64(),
+        address,
+        zone: text("site"),
+        kind: text("class"),
+        cell: entry["block"].as_u64(),
         health: text("health").unwrap_or_default(),
-        share: entry["share"].as_f64(),
-        born_ms: entry["born_ms"].as_f64().unwrap_or(0.0),
+        rating: entry["share"].as_f64(),
+        start_time_ms: entry["born_ms"].as_f64().unwrap_or(0.0),
     })
 }
 
@@ -163,13 +163,13 @@
     async fn watch_on_request(mut self, asked: &Notify) {
         let (mut backoff, mut silent) = (BACKOFF.0, false);
         loop {
-            let waits = self.number == 0 || self.order.held().is_some();
+            let waits = self.number == 0 || self.order.resume_version().is_some();
             if waits {
                 asked.notified().await;
             }
             // After a silent watch the full list is requested: a resumed watch sends nothing while nothing changes,
             // and a second silence would be noticed too late.
-            let after = self.order.held().filter(|_| !silent);
+            let after = self.order.resume_version().filter(|_| !silent);
             let first = if silent { FULL_LIST_TIMEOUT } else { HEARTBEAT_TIMEOUT };
             let error = match open_watch(self.address, after, false).await {
                 Ok(lines) => {
@@ -185,7 +185,7 @@
             // Once there is a list, the next watch waits for the decision library's request, and the library makes none
             // before it learns that this watch has ended. That includes the first watch after a change of address,
             // which the library did not request.
-            if waits || self.order.held().is_some() {
+            if waits || self.order.resume_version().is_some() {
                 note!(warn: "discovery: {error}");
                 self.inbox.send(Input::List(Scope::Failed, Vec::new()));
                 continue;
@@ -220,7 +220,7 @@
         loop {
             // A resumed watch sends no list while nothing changes. After two silent watches the full list is requested,
             // which has to arrive at once.
-            let whole = silent > 1 || regressed || self.order.held().is_none();
+            let whole = silent > 1 || regressed || self.order.resume_version().is_none();
             let Some(mut lines) = self.reopen(old.take(), whole).await else { return };
             let before = self.lines_read;
             let error =
@@ -286,7 +286,7 @@
     /// reports takes effect however late the new one is. Where calls are cheap, an unanswered call is hedged by
     /// another; elsewhere calls follow one another with backoff. `None` once discovery has moved to another address.
     async fn reopen(&mut self, mut old: Option<Lines>, whole: bool) -> Option<Lines> {
-        let after = self.order.held().filter(|_| !whole);
+        let after = self.order.resume_version().filter(|_| !whole);
         let old_began = old.as_ref().map(|lines| lines.began);
         let mut calls: JoinSet<Result<Lines, String>> = JoinSet::new();
         let mut wait = if self.pushed { HEDGE_DELAY } else { self.backoff() };
@@ -357,7 +357,7 @@
             after_gap: gap,
             call_began: call_began.saturating_duration_since(self.start),
         };
-        let held = self.order.held();
+        let resume_version = self.order.resume_version();
         let verdict = self.order.compare(self.start.elapsed(), arrived);
         log_list(&list, &hosts, verdict);
         let scope = if list.whole { Scope::Full } else { Scope::Delta };
@@ -375,7 +375,7 @@
                 return Err(WatchError::Regressed(format!(
                     "{} after {}",
                     list.seq,
-                    held.unwrap_or_default()
+                    resume_version.unwrap_or_default()
                 )));
             }
         }
--- a/crates/sandgap/src/drains.rs
+++ b/crates/sandgap/src/drains.rs
@@ -60,13 +60,13 @@
     fn host(name: &str, health: &str) -> Host {
         Host {
             host: name.into(),
-            dial: Some(([127, 0, 0, 1], 1).into()),
-            site: None,
-            class: None,
-            block: None,
+            address: Some(([127, 0, 0, 1], 1).into()),
+            zone: None,
+            kind: None,
+            cell: None,
             health: health.into(),
-            share: None,
-            born_ms: 0.0,
+            rating: None,
+            start_time_ms: 0.0,
         }
     }
 
--- a/crates/sandgap/src/driver.rs
+++ b/crates/sandgap/src/driver.rs
@@ -69,14 +69,14 @@
 }
 
 impl Effects for SocketEffects {
-    type Held = RequestContext;
+    type Context = RequestContext;
     type Reply = Reply;
 
-    fn attempt(&mut self, held: &RequestContext, attempt: core::Attempt) {
+    fn attempt(&mut self, context: &RequestContext, attempt: core::Attempt) {
         let core::Attempt { request, number, endpoint, wanted, until, answer_by, write_before } = attempt;
         let diagnostics = &self.parts.diagnostics;
         if number > 0 {
-            diagnostics.count(Event::Retry, held.last_outcome.get().map_or("none", outcome_name));
+            diagnostics.count(Event::Retry, context.last_outcome.get().map_or("none", outcome_name));
         }
         diagnostics.trace("attempt", || {
             let left = (self.start + until).saturating_duration_since(Instant::now()).as_secs_f64();
@@ -86,16 +86,16 @@
         let until = self.start + until;
         let answer_by = AnswerBy { start: self.start, after: answer_by };
         let before = write_before.map(|at| self.start + at);
-        let lease = held.lease.clone();
+        let lease = context.lease.clone();
         let attempt = Attempt { endpoint, wanted, lease, until, answer_by, before, report };
-        held.exchange.clone().attempt(attempt);
+        context.exchange.clone().attempt(attempt);
     }
 
-    fn may_send(&self, held: &RequestContext) -> bool {
-        held.lease.as_ref().is_none_or(|l| l.holds())
+    fn may_send(&self, context: &RequestContext) -> bool {
+        context.lease.as_ref().is_none_or(|l| l.holds())
     }
 
-    fn answer(&mut self, held: &mut RequestContext, request: RequestId, answer: Answer, cause: Cause) {
+    fn answer(&mut self, context: &mut RequestContext, request: RequestId, answer: Answer, cause: Cause) {
         let answer_name = match &answer {
             Answer::Served(_) => "served",
             Answer::Refused(_) => "refused",
@@ -105,13 +105,13 @@
             "answered",
             || json!({"request": request.0, "answer": answer_name, "cause": cause.name()}),
         );
-        if let Some(sender) = held.answer.take() {
+        if let Some(sender) = context.answer.take() {
             let _ = sender.send(answer); // fails if the client has just disconnected
         }
     }
 
-    fn is_body_consumed(&self, held: &RequestContext) -> bool {
-        held.exchange.is_spent()
+    fn is_body_consumed(&self, context: &RequestContext) -> bool {
+        context.exchange.is_spent()
     }
 
     fn retire(&mut self, endpoint: &Endpoint) {
@@ -268,7 +268,7 @@
             Some((name, (limit.clamp(0.0, 1e9) * 1000.0) as u64))
         };
         let limits = limits_of.into_iter().filter_map(limit_of).collect();
-        let in_flight_total = self.core.held_at_all();
+        let in_flight_total = self.core.in_flight_at_all();
         let add = |(a, f): (u64, u64), (all, failed): (u64, u64)| (a + all, f + failed);
         let cohort_ended = cohort.iter().map(|name| self.core.ended_at(id(name))).fold((0, 0), add);
         let ended = [cohort_ended, self.core.ended_at_all()];
@@ -298,9 +298,10 @@
                     answer,
                 } = *arrival;
                 let deadline = deadline.saturating_duration_since(self.start);
-                let held =
+                let context =
                     RequestContext { exchange, lease, answer: Some(answer), last_outcome: Cell::new(None) };
-                let arrival = core::Arrival { id, class, effect, tenant, key, hint, deadline, upload, held };
+                let arrival =
+                    core::Arrival { id, class, effect, tenant, key, hint, deadline, upload, context };
                 self.core.request(now, arrival);
             }
             Input::Received(id, at) => self.core.received(id, at.saturating_duration_since(self.start)),
@@ -319,8 +320,8 @@
                     let outcome = outcome_name(outcome);
                     json!({"request": request.0, "attempt": attempt, "outcome": outcome, "took_ms": latency})
                 });
-                if let Some(held) = self.core.context(request) {
-                    held.last_outcome.set(Some(outcome));
+                if let Some(context) = self.core.context(request) {
+                    context.last_outcome.set(Some(outcome));
                 }
                 self.core.ended(now, request, attempt, latency, outcome, reply);
             }
--- a/crates/sandgap/src/rules/book.rs
+++ b/crates/sandgap/src/rules/book.rs
@@ -65,14 +65,14 @@
 }
 
 fn backend(host: &Host) -> Result<Backend, String> {
-    let address = host.dial.ok_or_else(|| format!("backend '{}' has no address", host.host))?;
+    let address = host.address.ok_or_else(|| format!("backend '{}' has no address", host.host))?;
     Ok(Backend {
         name: host.host.clone(),
         address,
-        zone: host.site.clone(),
-        kind: host.class.clone(),
-        cell: host.block,
-        share: host.share.unwrap_or(1.0),
+        zone: host.zone.clone(),
+        kind: host.kind.clone(),
+        cell: host.cell,
+        share: host.rating.unwrap_or(1.0),
         draining: host.health != "up",
     })
 }
@@ -233,13 +233,13 @@
 pub fn hosts(book: &Rulebook) -> Option<Vec<Host>> {
     let host = |b: &Backend| Host {
         host: b.name.clone(),
-        dial: Some(b.address),
-        site: b.zone.clone(),
-        class: b.kind.clone(),
-        block: b.cell,
+        address: Some(b.address),
+        zone: b.zone.clone(),
+        kind: b.kind.clone(),
+        cell: b.cell,
         health: if b.draining || book.drained.contains(&b.name) { "draining" } else { "up" }.into(),
-        share: Some(b.share),
-        born_ms: 0.0,
+        rating: Some(b.share),
+        start_time_ms: 0.0,
     };
     book.backends.as_ref().map(|all| all.iter().map(host).collect())
 }
--- a/crates/sandgap/src/settings/mod.rs
+++ b/crates/sandgap/src/settings/mod.rs
@@ -234,13 +234,13 @@
 fn host(b: Backend) -> Host {
     Host {
         host: b.name,
-        dial: Some(b.address),
-        site: b.zone,
-        class: b.kind,
-        block: b.cell,
+        address: Some(b.address),
+        zone: b.zone,
+        kind: b.kind,
+        cell: b.cell,
         health: b.state,
-        share: Some(b.share),
-        born_ms: 0.0,
+        rating: Some(b.share),
+        start_time_ms: 0.0,
     }
 }
 
