--- a/crates/sandgap-lab/src/file.rs
+++ b/crates/sandgap-lab/src/file.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use sandgap_problem::{Problem, line, nearest};
+use sandgap_problem::{Problem, line_number, suggestion};
 use serde::{Deserialize, Serialize};
 use toml::de::{DeTable, DeValue};
 use toml::{Table, Value};
@@ -395,13 +395,16 @@
     let (spanned, errors) = DeTable::parse_recoverable(text);
     if !errors.is_empty() {
         let problem = |e: &toml::de::Error| Problem {
-            line: e.span().map_or(0, |s| line(text, s.start)),
+            line: e.span().map_or(0, |s| line_number(text, s.start)),
             text: e.message().to_owned(),
         };
         return Err(errors.iter().map(problem).collect());
     }
     let table: Table = text.parse().map_err(|e: toml::de::Error| {
-        vec![Problem { line: e.span().map_or(0, |s| line(text, s.start)), text: e.message().to_owned() }]
+        vec![Problem {
+            line: e.span().map_or(0, |s| line_number(text, s.start)),
+            text: e.message().to_owned(),
+        }]
     })?;
     let problem =
         |key: &str, what: String| Problem { line: line_of_key(text, spanned.get_ref(), key), text: what };
@@ -502,7 +505,7 @@
     let Some((what, expected)) = first.split_once(", expected ") else { return first.to_owned() };
     let Some(given) = what.split('`').nth(1) else { return first.to_owned() };
     let names = expected.split('`').skip(1).step_by(2);
-    match nearest(given, names) {
+    match suggestion(given, names) {
         meant if meant.is_empty() => first.to_owned(),
         meant => format!("{what}{meant}"),
     }
@@ -603,11 +606,11 @@
         let [part, rest @ ..] = path else { return found };
         match at {
             DeValue::Table(t) => match t.iter().find(|(k, _)| k.get_ref() == part) {
-                Some((k, v)) => descend(text, v.get_ref(), rest, line(text, k.span().start)),
+                Some((k, v)) => descend(text, v.get_ref(), rest, line_number(text, k.span().start)),
                 None => found,
             },
             DeValue::Array(a) => match part.parse::<usize>().ok().and_then(|i| a.get(i)) {
-                Some(v) => descend(text, v.get_ref(), rest, line(text, v.span().start)),
+                Some(v) => descend(text, v.get_ref(), rest, line_number(text, v.span().start)),
                 None => found,
             },
             _ => found,
--- a/crates/sandgap-problem/src/lib.rs
+++ b/crates/sandgap-problem/src/lib.rs
@@ -25,12 +25,12 @@
 }
 
 /// The line number, from 1, of the byte offset `at` in a text.
-pub fn line(text: &str, at: usize) -> usize {
+pub fn line_number(text: &str, at: usize) -> usize {
     1 + text.as_bytes().iter().take(at).filter(|b| **b == b'\n').count()
 }
 
 /// `; did you mean 'X'?` with the most similar name; empty if none is similar enough.
-pub fn nearest<'a>(name: &str, names: impl Iterator<Item = &'a str>) -> String {
+pub fn suggestion<'a>(name: &str, names: impl Iterator<Item = &'a str>) -> String {
     let similarities = names.map(|n| (strsim::jaro_winkler(name, n), n));
     match similarities.max_by(|a, b| a.0.total_cmp(&b.0)) {
         Some((similarity, nearest)) if similarity > MIN_SIMILARITY => format!("; did you mean '{nearest}'?"),
--- a/crates/sandgap/src/admin.rs
+++ b/crates/sandgap/src/admin.rs
@@ -176,7 +176,7 @@
         let (serving, diagnostics) = (Serving::default(), Diagnostics::new(None));
         let ask = |call| answer(Ok(call), &serving, &diagnostics);
         assert!(ask("ready").starts_with("400"));
-        serving.listed();
+        serving.set_has_list();
         assert!(ask("ready").starts_with("200"));
         assert!(ask("drain").starts_with("200") && ask("drain").starts_with("200"));
         assert!(!serving.is_up() && ask("ready").starts_with("200"));
--- a/crates/sandgap/src/daemon.rs
+++ b/crates/sandgap/src/daemon.rs
@@ -12,14 +12,14 @@
 use tokio::task::{LocalSet, spawn_local};
 use wharfhitch::{Balancer, Discovery, Rating, Scope, ZoneId};
 
-use crate::beliefs::Beliefs;
 use crate::config::{Config, Source};
 use crate::diagnostics::{Diagnostics, Event};
 use crate::driver::{Dependencies, Driver};
-use crate::event::{Host, Inbox, Input};
+use crate::event::{Host, Input, InputSender};
 use crate::front::{Frontend, UploadLimits};
 use crate::generation::Generations;
 use crate::handover::{self, ReceivedSockets, Upgrade};
+use crate::limit_report::LimitReport;
 use crate::rules::{self, Rules};
 use crate::serving::Serving;
 use crate::upstream::Upstreams;
@@ -46,7 +46,7 @@
     platform_file: Value,
     restart_only: RestartOnly,
     discovery: Option<watch::Sender<SocketAddr>>,
-    inbox: Inbox,
+    input_sender: InputSender,
     front: Rc<Frontend>,
     upstreams: Rc<Upstreams>,
     /// Whether rules are agreed by the fleet, so that no file changes them.
@@ -110,7 +110,7 @@
             );
         }
         note!("settings in force: classes {}", config.names.classes.join(", "));
-        self.inbox.send(Input::Change(Box::new(change)));
+        self.input_sender.send(Input::Change(Box::new(change)));
         self.upstreams.change(&config.connections);
         self.platform_file = config.platform_file;
         match (config.source, &self.discovery) {
@@ -120,7 +120,7 @@
             }
             (Source::Fixed(hosts), _) => {
                 note!("the configuration names {} backends", hosts.len());
-                self.inbox.send(Input::List(Scope::Full, hosts));
+                self.input_sender.send(Input::List(Scope::Full, hosts));
             }
             (Source::Discovery(_), None) => {}
         }
@@ -143,10 +143,10 @@
 
 /// Offers the remembered list once discovery has been silent for `delay`. It waits because discovery's own list counts
 /// from the start of a process, and the remembered one may be older.
-async fn offer_remembered(hosts: Vec<Host>, delay: Duration, inbox: Inbox) {
+async fn offer_remembered(hosts: Vec<Host>, delay: Duration, input_sender: InputSender) {
     if !hosts.is_empty() {
         tokio::time::sleep(delay).await;
-        inbox.send(Input::PreviousList(hosts));
+        input_sender.send(Input::PreviousList(hosts));
     }
 }
 
@@ -170,7 +170,7 @@
     let (listener, datagrams, older) = match taken {
         Some(ReceivedSockets { listener, datagrams, stream }) => {
             note!("upgrade: taking over from the process before");
-            serving.hold();
+            serving.wait_for_older();
             (listener, datagrams, Some(stream))
         }
         None => {
@@ -187,7 +187,7 @@
     } {
         spawn_local(admin::serve(listener, serving.clone(), diagnostics.clone()));
     }
-    let (inbox, inputs) = Inbox::new();
+    let (input_sender, inputs) = InputSender::new();
     let (discovery, addresses) = match &config.source {
         Source::Discovery(address) => Some(watch::channel(*address)).unzip(),
         Source::Fixed(_) => (None, None),
@@ -205,7 +205,7 @@
             };
             let peers = peers::Peers::new(addresses, config.settings.proxy_index, socket, reads)
                 .map_err(context(&on))?;
-            spawn_local(peers.clone().receive(inbox.clone()));
+            spawn_local(peers.clone().receive(input_sender.clone()));
             Some(peers)
         }
         None => None,
@@ -217,8 +217,8 @@
     let upstreams =
         Rc::new(Upstreams::new(&config.connections, budget / 4, diagnostics.clone(), view.clone()));
     let asked = Rc::new(Notify::new());
-    let parts = Dependencies {
-        inbox: inbox.clone(),
+    let dependencies = Dependencies {
+        input_sender: input_sender.clone(),
         pools: vec![upstreams.clone()],
         peers: peers.clone(),
         discovery: addresses.clone(),
@@ -231,22 +231,23 @@
     let generations = Generations::new(&config.settings, &config.names);
     let pushed = config.settings.discovery == wharfhitch::Discovery::Pushed;
     let balancer = Balancer::new(config.settings, config.seed);
-    let driver =
-        spawn_local(Driver::new(balancer, config.names, parts, Beliefs::new(config.metrics)).run(inputs));
+    let driver = spawn_local(
+        Driver::new(balancer, config.names, dependencies, LimitReport::new(config.metrics)).run(inputs),
+    );
     match config.source {
-        Source::Fixed(hosts) => inbox.send(Input::List(Scope::Full, hosts)),
+        Source::Fixed(hosts) => input_sender.send(Input::List(Scope::Full, hosts)),
         Source::Discovery(_) => {
-            inbox.send(Input::List(Scope::Cached, Vec::new())); // starts the decision library's clock
+            input_sender.send(Input::List(Scope::Cached, Vec::new())); // starts the decision library's clock
             let remembered = discovery::parse_remembered(&config.remembered_list).unwrap_or_default();
             spawn_local(offer_remembered(
                 remembered,
                 discovery::remembered_list_delay(pushed),
-                inbox.clone(),
+                input_sender.clone(),
             ));
         }
     }
     if let Some(addresses) = addresses {
-        spawn_local(discovery::follow(addresses, inbox.clone(), (!pushed).then_some(asked)));
+        spawn_local(discovery::follow(addresses, input_sender.clone(), (!pushed).then_some(asked)));
     }
     let uploads = UploadLimits {
         at_once: config.memory_bytes / UPLOAD_MEMORY_DIVISOR / MAX_UPLOAD_BYTES,
@@ -254,7 +255,7 @@
     };
     let address = listener.local_addr().map_err(context("the listener"))?;
     let front = front::Frontend::new(
-        inbox.clone(),
+        input_sender.clone(),
         generations,
         upstreams.clone(),
         budget,
@@ -270,27 +271,32 @@
         platform_file,
         restart_only,
         discovery,
-        inbox: inbox.clone(),
+        input_sender: input_sender.clone(),
         front: reloaded,
         upstreams,
         agreed,
     };
     spawn_local(reload.run(hup));
-    let agreed_inbox = inbox.clone();
+    let agreed_input_sender = input_sender.clone();
     if let Some(directory) = config.upgrade {
         let path = handover::path(&directory, address);
         let front = front.clone();
-        let upgrade = Upgrade { path, listener: shared, serving, inbox, peers, front, budget };
+        let upgrade = Upgrade { path, listener: shared, serving, input_sender, peers, front, budget };
         spawn_local(upgrade.run(older));
     }
     let rules = fleet.map(|fleet| {
         let rules =
             Rules::new(rules::runtime::agent(&fleet), fleet.timing.lease_bound.bound, fleet.header.clone());
         front.set_rules(rules.clone());
-        let (inbox, front) = (agreed_inbox, front.clone());
-        let parts =
-            rules::runtime::Parts { rules: rules.clone(), front, inbox, base, discovery: from_discovery };
-        spawn_local(rules::runtime::serve(parts, fleet));
+        let (input_sender, front) = (agreed_input_sender, front.clone());
+        let dependencies = rules::runtime::Dependencies {
+            rules: rules.clone(),
+            front,
+            input_sender,
+            base,
+            discovery: from_discovery,
+        };
+        spawn_local(rules::runtime::serve(dependencies, fleet));
         rules
     });
     note!("{} listens on {address}", config.name);
--- a/crates/sandgap/src/discovery/mod.rs
+++ b/crates/sandgap/src/discovery/mod.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use wharfhitch::Scope;
 
-use crate::event::{Host, Inbox, Input};
+use crate::event::{Host, Input, InputSender};
 use crate::note;
 use assembly::{LineResult, ListAssembler};
 use lines::{Lines, get, open_watch};
@@ -87,7 +87,9 @@
 
 /// Follows discovery at the configured address. With `asked`, a watch is opened only when the decision library requests
 /// one. After a change of address the old service is read until the new one has sent its list.
-pub async fn follow(mut addresses: watch::Receiver<SocketAddr>, inbox: Inbox, asked: Option<Rc<Notify>>) {
+pub async fn follow(
+    mut addresses: watch::Receiver<SocketAddr>, input_sender: InputSender, asked: Option<Rc<Notify>>,
+) {
     let start = Instant::now();
     let active_number = Rc::new(Cell::new(0));
     let mut serving = JoinSet::new();
@@ -96,7 +98,7 @@
         let address = *addresses.borrow_and_update();
         let source = Watcher {
             address,
-            inbox: inbox.clone(),
+            input_sender: input_sender.clone(),
             start,
             order: ListOrder::new(number > 0),
             number,
@@ -128,7 +130,7 @@
 /// The watch of one address, with the list version known there.
 struct Watcher {
     address: SocketAddr,
-    inbox: Inbox,
+    input_sender: InputSender,
     /// Origin of the times that order calls and lists.
     start: Instant,
     /// Orders the lists from this address by age.
@@ -187,7 +189,7 @@
             // which the library did not request.
             if waits || self.order.resume_version().is_some() {
                 note!(warn: "discovery: {error}");
-                self.inbox.send(Input::List(Scope::Failed, Vec::new()));
+                self.input_sender.send(Input::List(Scope::Failed, Vec::new()));
                 continue;
             }
             note!(warn: "discovery: {error}; retrying in {} ms", backoff.as_millis());
@@ -265,7 +267,7 @@
             self.lines_read += 1;
             let truncated = match assembly.push(&line) {
                 LineResult::Blank => {
-                    self.inbox.send(Input::DiscoveryAlive);
+                    self.input_sender.send(Input::DiscoveryAlive);
                     continue;
                 }
                 LineResult::Partial => continue,
@@ -366,11 +368,13 @@
                 return Err(WatchError::Unusable("changes arrived before any full list".into()));
             }
             Verdict::Unchanged => return Ok(()),
-            Verdict::Newer => self.inbox.send(Input::List(scope, hosts)),
-            Verdict::Uncertain { refetch: false } => self.inbox.send(Input::UncertainList(scope, hosts)),
+            Verdict::Newer => self.input_sender.send(Input::List(scope, hosts)),
+            Verdict::Uncertain { refetch: false } => {
+                self.input_sender.send(Input::UncertainList(scope, hosts))
+            }
             Verdict::Uncertain { refetch: true } => {
                 // Backends that it omits may have been added after it: only those that it names count.
-                self.inbox.send(Input::UncertainList(Scope::Delta, hosts));
+                self.input_sender.send(Input::UncertainList(Scope::Delta, hosts));
                 self.record_regression();
                 return Err(WatchError::Regressed(format!(
                     "{} after {}",
@@ -434,17 +438,17 @@
 }
 
 /// Requests the full list once.
-pub async fn fetch(address: SocketAddr, inbox: Inbox) {
+pub async fn fetch(address: SocketAddr, input_sender: InputSender) {
     let list = timeout(HEARTBEAT_TIMEOUT, async {
         let body = get(address, "").await?.rest().await?;
         serde_json::from_slice::<List>(&body).map_err(|e| format!("a malformed list: {e}"))
     });
     match list.await.unwrap_or_else(|_| Err("no answer".into())) {
         // It may be older than changes that a watch has delivered meanwhile.
-        Ok(list) => inbox.send(Input::UncertainList(Scope::Full, list.entries())),
+        Ok(list) => input_sender.send(Input::UncertainList(Scope::Full, list.entries())),
         Err(e) => {
             note!(warn: "discovery: {e}");
-            inbox.send(Input::List(Scope::Failed, Vec::new()));
+            input_sender.send(Input::List(Scope::Failed, Vec::new()));
         }
     }
 }
--- a/crates/sandgap/src/driver.rs
+++ b/crates/sandgap/src/driver.rs
@@ -15,14 +15,14 @@
 use wharfhitch::settings::{Names, number_of};
 use wharfhitch::{BackendId, Balancer, Outcome, RequestId, Scope};
 
-use crate::beliefs::Beliefs;
 use crate::diagnostics::{Diagnostics, Event};
 use crate::discovery;
 use crate::drains::Drains;
 use crate::event::{
-    Answer, AnswerBy, Arrival, Attempt, BackendPool, Endpoint, Exchange, Inbox, Input, Lease, Reply, Report,
-    StatusQuery, StatusReply,
+    Answer, AnswerBy, Arrival, Attempt, BackendPool, Endpoint, Exchange, Input, InputSender, Lease, Reply,
+    Report, StatusQuery, StatusReply,
 };
+use crate::limit_report::LimitReport;
 use crate::note;
 use crate::peers::Peers;
 use crate::serving::Serving;
@@ -36,7 +36,7 @@
 /// The components that the driver depends on.
 pub struct Dependencies {
     /// The queue to which attempts report.
-    pub inbox: Inbox,
+    pub input_sender: InputSender,
     /// The upstream side of each protocol.
     pub pools: Vec<Rc<dyn BackendPool>>,
     /// The other proxies, if messages may be sent to them.
@@ -64,7 +64,7 @@
 
 /// Carries out the core's effects on sockets, peers and discovery.
 struct SocketEffects {
-    parts: Dependencies,
+    dependencies: Dependencies,
     start: Instant,
 }
 
@@ -74,7 +74,7 @@
 
     fn attempt(&mut self, context: &RequestContext, attempt: core::Attempt) {
         let core::Attempt { request, number, endpoint, wanted, until, answer_by, write_before } = attempt;
-        let diagnostics = &self.parts.diagnostics;
+        let diagnostics = &self.dependencies.diagnostics;
         if number > 0 {
             diagnostics.count(Event::Retry, context.last_outcome.get().map_or("none", outcome_name));
         }
@@ -82,7 +82,8 @@
             let left = (self.start + until).saturating_duration_since(Instant::now()).as_secs_f64();
             json!({"request": request.0, "attempt": number, "backend": endpoint.address, "left_s": left})
         });
-        let report = Report::new(self.parts.inbox.clone(), request, number, endpoint.begin_attempt());
+        let report =
+            Report::new(self.dependencies.input_sender.clone(), request, number, endpoint.begin_attempt());
         let until = self.start + until;
         let answer_by = AnswerBy { start: self.start, after: answer_by };
         let before = write_before.map(|at| self.start + at);
@@ -101,7 +102,7 @@
             Answer::Refused(_) => "refused",
             Answer::Failed => "failed",
         };
-        self.parts.diagnostics.trace(
+        self.dependencies.diagnostics.trace(
             "answered",
             || json!({"request": request.0, "answer": answer_name, "cause": cause.name()}),
         );
@@ -115,30 +116,30 @@
     }
 
     fn retire(&mut self, endpoint: &Endpoint) {
-        self.parts.pools.iter().for_each(|pool| pool.retire(endpoint));
+        self.dependencies.pools.iter().for_each(|pool| pool.retire(endpoint));
     }
 
     fn broadcast(&mut self, bytes: Vec<u8>) {
-        if let Some(peers) = &self.parts.peers {
+        if let Some(peers) = &self.dependencies.peers {
             peers.broadcast(&bytes);
         }
     }
 
     fn subscribe(&mut self) {
-        self.parts.subscribe.notify_one();
+        self.dependencies.subscribe.notify_one();
     }
 
     fn fetch_list(&mut self) {
-        if let Some(discovery) = &self.parts.discovery {
+        if let Some(discovery) = &self.dependencies.discovery {
             let address = *discovery.borrow();
-            tokio::task::spawn_local(discovery::fetch(address, self.parts.inbox.clone()));
+            tokio::task::spawn_local(discovery::fetch(address, self.dependencies.input_sender.clone()));
         }
     }
 
     fn listed(&mut self, scope: Scope, has_entries: bool) {
         match scope {
-            Scope::Full => self.parts.serving.listed(),
-            Scope::Cached if has_entries => self.parts.serving.listed(),
+            Scope::Full => self.dependencies.serving.set_has_list(),
+            Scope::Cached if has_entries => self.dependencies.serving.set_has_list(),
             Scope::Cached | Scope::Delta | Scope::Failed => {}
         }
     }
@@ -149,20 +150,20 @@
             violation.name(),
             request.0
         );
-        self.parts.diagnostics.count(Event::Violation, violation.name());
+        self.dependencies.diagnostics.count(Event::Violation, violation.name());
         let fields = || json!({"request": request.0, "reason": violation.name()});
-        self.parts.diagnostics.trace("violation", fields);
+        self.dependencies.diagnostics.trace("violation", fields);
     }
 
     fn late_answer(&mut self, request: RequestId) {
-        self.parts.diagnostics.count(Event::Late, "answer");
-        self.parts.diagnostics.trace("late_answer", || json!({"request": request.0}));
+        self.dependencies.diagnostics.count(Event::Late, "answer");
+        self.dependencies.diagnostics.trace("late_answer", || json!({"request": request.0}));
     }
 
     fn denied(&mut self, request: RequestId, attempt: u32, denial: Denial) {
-        self.parts.diagnostics.count(Event::Denial, denial.name());
+        self.dependencies.diagnostics.count(Event::Denial, denial.name());
         let fields = || json!({"request": request.0, "attempt": attempt, "reason": denial.name()});
-        self.parts.diagnostics.trace("denied", fields);
+        self.dependencies.diagnostics.trace("denied", fields);
     }
 }
 
@@ -170,18 +171,21 @@
 pub struct Driver {
     core: Core<Balancer, SocketEffects>,
     start: Instant,
-    beliefs: Beliefs,
+    limit_report: LimitReport,
     /// Manual drains applied on top of the discovery list, in deployments with agreed rules.
     drains: Option<Drains>,
 }
 
 impl Driver {
     /// Creates a driver without requests. The decision library's clock starts here.
-    pub fn new(balancer: Balancer, names: Names, parts: Dependencies, beliefs: Beliefs) -> Self {
+    pub fn new(
+        balancer: Balancer, names: Names, dependencies: Dependencies, limit_report: LimitReport,
+    ) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let start = Instant::now();
-        let core = Core::new(balancer, SocketEffects { parts, start }, names, unix.as_secs_f64() * 1000.0);
-        Driver { core, start, beliefs, drains: None }
+        let core =
+            Core::new(balancer, SocketEffects { dependencies, start }, names, unix.as_secs_f64() * 1000.0);
+        Driver { core, start, limit_report, drains: None }
     }
 
     /// Handles inputs and timers until the input channel closes.
@@ -204,18 +208,18 @@
                     None => return,
                 },
             };
-            match self.core.effects.parts.view.standstill() {
+            match self.core.effects.dependencies.view.standstill() {
                 Some(span) => self.catch_up(span, input, &mut inputs).await,
                 None => self.take_batch(input, &mut inputs),
             }
             self.core.run_due_timers(self.now());
             let now = Instant::now();
-            self.core.effects.parts.view.mark_caught_up(now);
+            self.core.effects.dependencies.view.mark_caught_up(now);
             if now >= sweep {
-                self.core.effects.parts.pools.iter().for_each(|pool| pool.sweep());
+                self.core.effects.dependencies.pools.iter().for_each(|pool| pool.sweep());
                 let limits = self.core.policy().beliefs();
-                let counts = self.core.effects.parts.diagnostics.counts();
-                self.beliefs.update(now.into_std(), limits, &counts, |b| self.core.address(b));
+                let counts = self.core.effects.dependencies.diagnostics.counts();
+                self.limit_report.update(now.into_std(), limits, &counts, |b| self.core.address(b));
                 sweep = now + SWEEP_INTERVAL;
             }
         }
@@ -248,7 +252,7 @@
 
     fn report_standstill(&self, span: Duration) {
         note!(warn: "the process stood still for {} ms", span.as_millis());
-        let diagnostics = &self.core.effects.parts.diagnostics;
+        let diagnostics = &self.core.effects.dependencies.diagnostics;
         diagnostics.count(Event::Standstill, standstill_name(span));
         diagnostics.trace("standstill", || json!({"ms": span.as_millis() as u64}));
     }
@@ -309,12 +313,12 @@
             Input::Shutdown(at) => self.core.end_by(at.saturating_duration_since(self.start)),
             Input::Started { request, attempt, reply } => self.core.started(now, request, attempt, reply),
             Input::Disconnected(id) => {
-                let diagnostics = &self.core.effects.parts.diagnostics;
+                let diagnostics = &self.core.effects.dependencies.diagnostics;
                 diagnostics.trace("client_left", || json!({"request": id.0}));
                 self.core.client_disconnected(now, id);
             }
             Input::Ended { request, attempt, latency, outcome, reply } => {
-                let diagnostics = &self.core.effects.parts.diagnostics;
+                let diagnostics = &self.core.effects.dependencies.diagnostics;
                 diagnostics.count(Event::Attempt, outcome_name(outcome));
                 diagnostics.trace("ended", || {
                     let outcome = outcome_name(outcome);
@@ -340,7 +344,7 @@
                 self.core.uncertain_list(now, scope, hosts);
             }
             Input::PreviousList(hosts) => {
-                if !self.core.effects.parts.serving.has_list() {
+                if !self.core.effects.dependencies.serving.has_list() {
                     note!(warn: "discovery does not answer; serving from the list of the previous process");
                     self.handle(Input::List(Scope::Cached, hosts));
                 }
--- a/crates/sandgap/src/event.rs
+++ b/crates/sandgap/src/event.rs
@@ -197,7 +197,7 @@
 /// Reports the outcome of an attempt exactly once. An attempt dropped without an outcome is reported as reset, since
 /// it may have run.
 pub struct Report {
-    inbox: Inbox,
+    input_sender: InputSender,
     request: RequestId,
     attempt: u32,
     sent: Instant,
@@ -210,8 +210,16 @@
 
 impl Report {
     /// Creates the report of an attempt that starts now.
-    pub fn new(inbox: Inbox, request: RequestId, attempt: u32, holding: InFlightGuard) -> Self {
-        Report { inbox, request, attempt, sent: Instant::now(), latency: None, is_sent: false, holding }
+    pub fn new(input_sender: InputSender, request: RequestId, attempt: u32, holding: InFlightGuard) -> Self {
+        Report {
+            input_sender,
+            request,
+            attempt,
+            sent: Instant::now(),
+            latency: None,
+            is_sent: false,
+            holding,
+        }
     }
 
     /// Number of the request.
@@ -227,14 +235,14 @@
     /// Reports that a long request has been sent completely: the backend's latency counts from here.
     pub fn uploaded(&mut self) {
         self.sent = Instant::now();
-        self.inbox.send(Input::Uploaded(self.request));
+        self.input_sender.send(Input::Uploaded(self.request));
     }
 
     /// Reports that a long answer has started.
     pub fn started(&mut self, reply: Reply) {
         self.latency = Some(self.elapsed());
         let (request, attempt) = (self.request, self.attempt);
-        self.inbox.send(Input::Started { request, attempt, reply });
+        self.input_sender.send(Input::Started { request, attempt, reply });
     }
 
     fn elapsed(&self) -> Millis {
@@ -258,7 +266,7 @@
         }
         let latency = self.latency.unwrap_or_else(|| self.elapsed());
         let (request, attempt) = (self.request, self.attempt);
-        self.inbox.send(Input::Ended { request, attempt, latency, outcome, reply });
+        self.input_sender.send(Input::Ended { request, attempt, latency, outcome, reply });
     }
 }
 
@@ -272,14 +280,14 @@
 
 /// Sending end of the driver's input queue.
 #[derive(Clone)]
-pub struct Inbox(mpsc::UnboundedSender<Input>);
+pub struct InputSender(mpsc::UnboundedSender<Input>);
 
-impl Inbox {
+impl InputSender {
     /// Creates the queue and the receiver for the driver. The queue's length is bounded by the socket budget: each
     /// connection holds one request, and each request a few attempts.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (sender, receiver) = mpsc::unbounded_channel();
-        (Inbox(sender), receiver)
+        (InputSender(sender), receiver)
     }
 
     /// Queues an input.
--- a/crates/sandgap/src/front/answer.rs
+++ b/crates/sandgap/src/front/answer.rs
@@ -17,7 +17,7 @@
 use super::head::{OpenId, ParsedHead, target};
 use super::receive::{error_response, receive};
 use crate::body::{self, AnswerBody, BodyFault, Upload};
-use crate::event::{Answer, Arrival, Inbox, Input};
+use crate::event::{Answer, Arrival, Input, InputSender};
 use crate::upstream::{Forwarded, Outgoing, Payload, Reply, strip};
 
 impl Frontend {
@@ -88,7 +88,7 @@
             json!({"request": id.0, "id": &*parsed.id, "connection": client.number, "left_s": left})
         });
         let message = Outgoing { method: head.method, uri: target(&head.uri), headers, body, patience };
-        self.inbox.send(Input::Request(Box::new(Arrival {
+        self.input_sender.send(Input::Request(Box::new(Arrival {
             id,
             class,
             effect,
@@ -106,11 +106,11 @@
             answer,
         })));
         if let Some(upload) = &upload {
-            let inbox = self.inbox.clone();
-            upload.on_received(move |at| inbox.send(Input::Received(id, at)));
+            let input_sender = self.input_sender.clone();
+            upload.on_received(move |at| input_sender.send(Input::Received(id, at)));
         }
         // Hyper drops this future when the client disconnects.
-        let mut disconnect_guard = DisconnectGuard { inbox: &self.inbox, id, is_waiting: true };
+        let mut disconnect_guard = DisconnectGuard { input_sender: &self.input_sender, id, is_waiting: true };
         let awaiting = AwaitingAnswer::new(client, upload.as_ref());
         let answer = tokio::select! {
             biased;
@@ -195,7 +195,7 @@
 
 /// Reports to the driver that the client disconnected, if dropped before the answer.
 struct DisconnectGuard<'a> {
-    inbox: &'a Inbox,
+    input_sender: &'a InputSender,
     id: RequestId,
     is_waiting: bool,
 }
@@ -203,7 +203,7 @@
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.is_waiting {
-            self.inbox.send(Input::Disconnected(self.id));
+            self.input_sender.send(Input::Disconnected(self.id));
         }
     }
 }
--- a/crates/sandgap/src/front/mod.rs
+++ b/crates/sandgap/src/front/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::body::ReadAheadBudget;
 use crate::diagnostics::Diagnostics;
-use crate::event::{Inbox, Input};
+use crate::event::{Input, InputSender};
 use crate::generation::Generations;
 use crate::note;
 use crate::retry;
@@ -40,7 +40,7 @@
 
 /// State shared by all client connections.
 pub struct Frontend {
-    inbox: Inbox,
+    input_sender: InputSender,
     generations: RefCell<Generations>,
     upstreams: Rc<Upstreams>,
     /// Maximum number of sockets for clients and backends together.
@@ -88,12 +88,12 @@
     /// Creates the client side. `budget` counts sockets of clients and backends together; `serving` tells whether
     /// clients are accepted; `uploads` limits long requests; for `grace` see [`crate::config::Config`].
     pub fn new(
-        inbox: Inbox, generations: Generations, upstreams: Rc<Upstreams>, budget: usize,
+        input_sender: InputSender, generations: Generations, upstreams: Rc<Upstreams>, budget: usize,
         serving: Rc<Serving>, uploads: UploadLimits, grace: Duration,
     ) -> Rc<Self> {
         let diagnostics = upstreams.diagnostics().clone();
         Rc::new(Frontend {
-            inbox,
+            input_sender,
             generations: RefCell::new(generations),
             upstreams,
             budget: Cell::new(budget),
@@ -163,7 +163,7 @@
         let longest =
             Duration::from_secs_f64(self.generations.borrow().longest_deadline_ms().min(1e6) / 1000.0);
         let stopped_at = self.upstreams.view().arrived_at();
-        self.inbox.send(Input::Shutdown(stopped_at + longest.min(self.grace) + LAST_ANSWER_AFTER));
+        self.input_sender.send(Input::Shutdown(stopped_at + longest.min(self.grace) + LAST_ANSWER_AFTER));
         // If another process accepts from the same queue, nothing in it is lost. That is a newer process, or the previous
         // one while this one has not served yet.
         let other_process_accepts = !self.serving.accepts();
--- a/crates/sandgap/src/handover.rs
+++ b/crates/sandgap/src/handover.rs
@@ -26,7 +26,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-use crate::event::{Inbox, Input};
+use crate::event::{Input, InputSender};
 use crate::front::Frontend;
 use crate::note;
 use crate::peers::{Datagram, MAX_MESSAGE_BYTES, Peers};
@@ -128,7 +128,7 @@
     /// Whether clients are taken.
     pub serving: Rc<Serving>,
     /// Receives relayed datagrams.
-    pub inbox: Inbox,
+    pub input_sender: InputSender,
     /// The other proxies.
     pub peers: Option<Rc<Peers>>,
     /// Holds the clients' connections.
@@ -159,7 +159,7 @@
         };
         self.exchange_frames(read, sender, || {}).await;
         note!("upgrade: the process before has ended");
-        self.serving.release();
+        self.serving.take_over_queue();
         self.resume_alone();
     }
 
@@ -226,7 +226,7 @@
             }
         };
         tokio::select! {
-            () = read_frames(read, &self.inbox, serves) => {}
+            () = read_frames(read, &self.input_sender, serves) => {}
             () = sender => {}
         }
     }
@@ -264,7 +264,7 @@
 }
 
 /// Reads frames until the other process ends or sends an invalid frame.
-async fn read_frames(mut read: HandoverStream, inbox: &Inbox, serves: impl Fn()) {
+async fn read_frames(mut read: HandoverStream, input_sender: &InputSender, serves: impl Fn()) {
     loop {
         match read.read_u8().await {
             Ok(SERVES) => serves(),
@@ -275,7 +275,7 @@
                 if usize::from(size) > MAX_MESSAGE_BYTES || read.read_exact(&mut bytes).await.is_err() {
                     return;
                 }
-                inbox.send(Input::Datagram { from, bytes });
+                input_sender.send(Input::Datagram { from, bytes });
             }
             _ => return,
         }
--- a/crates/sandgap/src/lib.rs
+++ b/crates/sandgap/src/lib.rs
@@ -5,7 +5,6 @@
 //! clients; `upstream` makes attempts; `discovery` and `peers` receive updates.
 
 pub mod admin;
-pub mod beliefs;
 pub mod body;
 pub mod change;
 pub mod config;
@@ -18,6 +17,7 @@
 pub mod front;
 pub mod generation;
 pub mod handover;
+pub mod limit_report;
 pub mod load;
 pub mod log;
 pub mod peers;
--- a/crates/sandgap/src/beliefs.rs
+++ b/crates/sandgap/src/limit_report.rs
@@ -25,7 +25,7 @@
 const WRITE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The state of the reports.
-pub struct Beliefs {
+pub struct LimitReport {
     /// The limit of each backend as last logged.
     last_logged: FxHashMap<BackendId, f64>,
     file: Option<MetricsFile>,
@@ -42,7 +42,7 @@
     failing: Arc<AtomicBool>,
 }
 
-impl Beliefs {
+impl LimitReport {
     /// Creates the reports; gauges are written to `file`, if there is one.
     pub fn new(file: Option<PathBuf>) -> Self {
         let file = file.map(|path| MetricsFile {
@@ -51,7 +51,7 @@
             busy: Arc::default(),
             failing: Arc::default(),
         });
-        Beliefs { last_logged: FxHashMap::default(), file }
+        LimitReport { last_logged: FxHashMap::default(), file }
     }
 
     /// Logs significant changes and writes the file if due. The work is bounded by the number of listed backends.
@@ -60,7 +60,8 @@
         counts: &[(Event, &'static str, u64)], address: impl Fn(BackendId) -> Option<SocketAddr>,
     ) {
         let due = self.file.as_ref().is_some_and(|f| f.written.is_none_or(|at| now - at >= WRITE_INTERVAL));
-        // Created for each write: a recorder never drops a gauge, and over the years many backends are added and removed.
+        // Created for each write: a recorder never drops a gauge, and over the years many backends are added and
+        // removed.
         let recorder = due.then(recorder);
         let (mut lines, mut listed) = (0, 0);
         for belief in beliefs {
@@ -130,8 +131,8 @@
 }
 
 impl MetricsFile {
-    /// Writes the file atomically on a separate thread, so that a slow disk delays no request. Skipped while another write
-    /// is in progress.
+    /// Writes the file atomically on a separate thread, so that a slow disk delays no request. Skipped while another
+    /// write is in progress.
     fn write(&mut self, now: Instant, text: String) {
         self.written = Some(now);
         if self.busy.swap(true, Ordering::Relaxed) {
@@ -166,13 +167,13 @@
     #[tokio::test]
     async fn the_file_contains_exactly_the_currently_listed_backends() {
         let path = std::env::temp_dir().join(format!("sandgap-beliefs-{}.prom", std::process::id()));
-        let mut beliefs = Beliefs::new(Some(path.clone()));
+        let mut report = LimitReport::new(Some(path.clone()));
         let address = |b: BackendId| Some(SocketAddr::from(([127, 0, 0, 1], b.0 as u16)));
         let start = Instant::now();
         for (i, (backend, gone)) in [(7001, 7002), (7002, 7001)].into_iter().enumerate() {
-            let file = beliefs.file.as_ref().expect("a file");
+            let file = report.file.as_ref().expect("a file");
             let busy = file.busy.clone();
-            beliefs.update(
+            report.update(
                 start + 2 * WRITE_INTERVAL * i as u32,
                 [belief(backend, 12.0)].into_iter(),
                 &[],
--- a/crates/sandgap/src/peers.rs
+++ b/crates/sandgap/src/peers.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{Notify, mpsc};
 
 use crate::config::PeerAddresses;
-use crate::event::{Inbox, Input};
+use crate::event::{Input, InputSender};
 use crate::note;
 
 /// Maximum size of a message in the protocol, in bytes.
@@ -96,7 +96,7 @@
     }
 
     /// Receives datagrams of the other proxies; one from an unknown address or over the size limit is dropped.
-    pub async fn receive(self: Rc<Self>, inbox: Inbox) {
+    pub async fn receive(self: Rc<Self>, input_sender: InputSender) {
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
             let received = tokio::select! {
@@ -107,7 +107,7 @@
                 Ok((size, from)) => match self.numbers.get(&from) {
                     Some(&number) if size <= MAX_MESSAGE_BYTES => {
                         self.relay_datagram(number, &buffer[..size]);
-                        inbox.send(Input::Datagram { from: number, bytes: buffer[..size].to_vec() });
+                        input_sender.send(Input::Datagram { from: number, bytes: buffer[..size].to_vec() });
                     }
                     _ => note!(warn: "a datagram of {size} bytes or more from {from} is dropped"),
                 },
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -24,7 +24,7 @@
 use super::watch::Watch;
 use super::{Rules, SharedAgent, book, now, riders};
 use crate::config::Fleet;
-use crate::event::{Inbox, Input};
+use crate::event::{Input, InputSender};
 use crate::front::Frontend;
 use crate::note;
 use crate::retry;
@@ -48,13 +48,13 @@
 
 /// The parts of the process that the runtime uses.
 #[derive(Clone)]
-pub struct Parts {
+pub struct Dependencies {
     /// Decides whether requests may be admitted.
     pub rules: Rc<Rules>,
     /// Takes over changed settings.
     pub front: Rc<Frontend>,
     /// Passes changes to the decision library.
-    pub inbox: Inbox,
+    pub input_sender: InputSender,
     /// The settings at the start, for everything that rules don't cover.
     pub base: Settings,
     /// Whether its backends come from discovery.
@@ -63,7 +63,7 @@
 
 /// The runtime of an agent; see the module documentation.
 pub struct Runtime {
-    parts: Parts,
+    dependencies: Dependencies,
     /// The driven agent, which is in use or will be.
     agent: SharedAgent,
     fleet: Fleet,
@@ -96,13 +96,13 @@
     ///
     /// # Errors
     /// If the address or the disk can't be used.
-    async fn as_member(parts: Parts, fleet: Fleet) -> Result<Self, String> {
+    async fn as_member(dependencies: Dependencies, fleet: Fleet) -> Result<Self, String> {
         let on = fleet.listen;
         let what = format!("fleet on {on}");
         let listener = retry::retry_transient(&what, || socket::listen(on)).await;
         let listener = listener.map_err(|e| format!("{what}: {e}"))?;
         let agent = Rc::new(RefCell::new(agent(&fleet)));
-        let mut runtime = Self::new(parts, fleet, agent);
+        let mut runtime = Self::new(dependencies, fleet, agent);
         if let Some(path) = runtime.fleet.store.clone().filter(|_| runtime.fleet.is_voter()) {
             runtime.open_voter_store(&path)?;
         }
@@ -112,14 +112,14 @@
     }
 
     /// Asks for leases under a separate name while the older process still holds this proxy's name and address.
-    fn as_guest(parts: Parts, mut fleet: Fleet) -> Self {
+    fn as_guest(dependencies: Dependencies, mut fleet: Fleet) -> Self {
         fleet.name = format!("{:.40}~{}", fleet.name, std::process::id());
         let agent = Rc::new(RefCell::new(agent(&fleet)));
-        parts.rules.use_agent(agent.clone());
-        Self::new(parts, fleet, agent)
+        dependencies.rules.use_agent(agent.clone());
+        Self::new(dependencies, fleet, agent)
     }
 
-    fn new(parts: Parts, fleet: Fleet, agent: SharedAgent) -> Self {
+    fn new(dependencies: Dependencies, fleet: Fleet, agent: SharedAgent) -> Self {
         let (sender, incoming) = mpsc::channel(INCOMING_QUEUE);
         let links = Links::new(fleet.key.clone(), fleet.name.clone(), sender);
         let incarnation = now().as_millis() as u64;
@@ -127,8 +127,8 @@
         let me = Identity { name, address: fleet.listen, incarnation, zone };
         let members = Members::new(me, ProbeTiming::default(), random_u64());
         let kept_version = fleet.kept_version_path.clone().map(KeptVersion::new);
-        let watch = Watch::new(parts.clone(), agent.clone(), fleet.is_voter(), fleet.zone.clone());
-        Runtime { parts, agent, fleet, members, links, incoming, disk: None, kept_version, watch }
+        let watch = Watch::new(dependencies.clone(), agent.clone(), fleet.is_voter(), fleet.zone.clone());
+        Runtime { dependencies, agent, fleet, members, links, incoming, disk: None, kept_version, watch }
     }
 
     /// Opens the voter's store. A missing or damaged store is replaced by a blank one with a new seat.
@@ -172,8 +172,8 @@
             Some((version, Ok(book))) => match self.put_in_force(&book) {
                 Ok(()) => {
                     note!("rules: version {version} was kept; classes that serve without a lease go by it");
-                    self.parts.rules.record_unleased_classes(&book);
-                    self.parts.rules.kept_version.set(version);
+                    self.dependencies.rules.record_unleased_classes(&book);
+                    self.dependencies.rules.kept_version.set(version);
                 }
                 Err(e) => note!(warn: "rules: the kept version {version} can't be used: {e}"),
             },
@@ -304,9 +304,9 @@
     }
 
     fn check(&self, rules: &Rulebook) -> Result<(), String> {
-        book::check(rules, self.parts.discovery)?;
-        let (settings, names) = book::settings(rules, &self.parts.base);
-        self.parts.front.check_settings(&settings, &names)
+        book::check(rules, self.dependencies.discovery)?;
+        let (settings, names) = book::settings(rules, &self.dependencies.base);
+        self.dependencies.front.check_settings(&settings, &names)
     }
 
     fn activate(&mut self, version: Version, rules: &Rulebook) {
@@ -314,7 +314,7 @@
         // here.
         match self.put_in_force(rules) {
             Ok(()) => {
-                self.parts.rules.record_unleased_classes(rules);
+                self.dependencies.rules.record_unleased_classes(rules);
                 note!("rules: version {version} in force");
                 self.keep(version, rules);
             }
@@ -326,12 +326,12 @@
     }
 
     fn put_in_force(&self, rules: &Rulebook) -> Result<(), String> {
-        let (settings, names) = book::settings(rules, &self.parts.base);
-        let change = self.parts.front.change(&settings, &names)?;
-        self.parts.inbox.send(Input::Change(Box::new(change)));
+        let (settings, names) = book::settings(rules, &self.dependencies.base);
+        let change = self.dependencies.front.change(&settings, &names)?;
+        self.dependencies.input_sender.send(Input::Change(Box::new(change)));
         match book::hosts(rules) {
-            Some(hosts) => self.parts.inbox.send(Input::List(Scope::Full, hosts)),
-            None => self.parts.inbox.send(Input::Drains(rules.drained.clone())),
+            Some(hosts) => self.dependencies.input_sender.send(Input::List(Scope::Full, hosts)),
+            None => self.dependencies.input_sender.send(Input::Drains(rules.drained.clone())),
         }
         Ok(())
     }
@@ -354,11 +354,11 @@
 
 /// Joins the fleet. While an older process still holds the address, as in an upgrade, this process asks for leases as a
 /// guest. Once the address is free it joins as a member, and switches over when it has a lease as a member.
-pub async fn serve(parts: Parts, fleet: Fleet) {
+pub async fn serve(dependencies: Dependencies, fleet: Fleet) {
     let mut guest: Option<JoinHandle<()>> = None;
     let mut logged_at: Option<Instant> = None;
     let mut member = loop {
-        match Runtime::as_member(parts.clone(), fleet.clone()).await {
+        match Runtime::as_member(dependencies.clone(), fleet.clone()).await {
             Ok(runtime) => break runtime,
             Err(e) => {
                 if logged_at.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
@@ -366,7 +366,7 @@
                     logged_at = Some(Instant::now());
                 }
                 let start_guest = || {
-                    let mut runtime = Runtime::as_guest(parts.clone(), fleet.clone());
+                    let mut runtime = Runtime::as_guest(dependencies.clone(), fleet.clone());
                     spawn_local(async move { runtime.run(false).await })
                 };
                 guest.get_or_insert_with(start_guest);
@@ -377,11 +377,11 @@
     member.announce();
     if let Some(guest) = guest {
         member.run(true).await;
-        parts.rules.use_agent(member.agent.clone());
+        dependencies.rules.use_agent(member.agent.clone());
         guest.abort();
         note!("rules: the place in the fleet is this process's now");
     } else {
-        parts.rules.use_agent(member.agent.clone());
+        dependencies.rules.use_agent(member.agent.clone());
     }
     member.run(false).await;
 }
--- a/crates/sandgap/src/rules/watch.rs
+++ b/crates/sandgap/src/rules/watch.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::SharedAgent;
-use super::runtime::Parts;
+use super::runtime::Dependencies;
 use crate::event::{Input, StatusQuery};
 
 /// Interval between two reports.
@@ -30,7 +30,7 @@
 
 /// Observes and reports for permits; see the module documentation.
 pub struct Watch {
-    parts: Parts,
+    dependencies: Dependencies,
     agent: SharedAgent,
     is_voter: bool,
     zone: Option<String>,
@@ -52,9 +52,11 @@
 
 impl Watch {
     /// A watch without instructions.
-    pub fn new(parts: Parts, agent: SharedAgent, is_voter: bool, zone: Option<String>) -> Rc<Self> {
+    pub fn new(
+        dependencies: Dependencies, agent: SharedAgent, is_voter: bool, zone: Option<String>,
+    ) -> Rc<Self> {
         let (instructions, reporting, dialling, dialled) = Default::default();
-        Rc::new(Watch { parts, agent, is_voter, zone, instructions, reporting, dialling, dialled })
+        Rc::new(Watch { dependencies, agent, is_voter, zone, instructions, reporting, dialling, dialled })
     }
 
     /// Applies new instructions; empty instructions stop both tasks.
@@ -62,7 +64,7 @@
         let instructions =
             tagged.iter().find(|(tag, _)| *tag == TAG).map(|(_, bytes)| Instructions::decode(bytes));
         let instructions = instructions.unwrap_or_default();
-        self.parts.front.serving().order_out(instructions.out);
+        self.dependencies.front.serving().set_fleet_drain(instructions.out);
         let dials = instructions.dial && self.is_voter;
         *self.instructions.borrow_mut() = instructions;
         if self.has_instructions() && !self.reporting.replace(true) {
@@ -90,7 +92,7 @@
 
     async fn observe(&self) -> Option<ProxyReport> {
         let instructions = self.instructions.borrow().clone();
-        // The version in force now is already in the driver's inbox, ahead of the query.
+        // The version in force now is already in the driver's input queue, ahead of the query.
         let version = self.agent.borrow().follower().acting();
         let measured = match instructions.measure && self.is_voter {
             true => self.backends().into_iter().map(|(name, _)| name).collect(),
@@ -99,7 +101,7 @@
         let (answer, observed) = oneshot::channel();
         let (number, cohort) = instructions.cohort.unzip();
         let cohort = cohort.unwrap_or_default();
-        self.parts.inbox.send(Input::StatusQuery(Box::new(StatusQuery {
+        self.dependencies.input_sender.send(Input::StatusQuery(Box::new(StatusQuery {
             in_flight_at: instructions.watch,
             limits_of: measured,
             cohort,
@@ -107,10 +109,10 @@
         })));
         let observed = observed.await.ok()?;
         let missed = self.unreachable();
-        let front = &self.parts.front;
+        let front = &self.dependencies.front;
         Some(ProxyReport {
             version,
-            out: front.serving().is_out(),
+            out: front.serving().is_fleet_drained(),
             open: u32::try_from(front.busy()).unwrap_or(u32::MAX),
             held: observed.in_flight_total,
             backend_attempts: observed
--- a/crates/sandgap/src/serving.rs
+++ b/crates/sandgap/src/serving.rs
@@ -40,7 +40,7 @@
     /// Drained by staff.
     drained: Cell<bool>,
     /// Drained by the fleet.
-    out: Cell<bool>,
+    fleet_drained: Cell<bool>,
     stopping: Cell<bool>,
     /// A newer process accepts connections.
     handed_over: Cell<bool>,
@@ -52,9 +52,17 @@
 impl Default for Serving {
     fn default() -> Self {
         let flag = || Cell::new(false);
-        let (listed, drained, out, stopping, handed_over, held_back) =
+        let (listed, drained, fleet_drained, stopping, handed_over, held_back) =
             (flag(), flag(), flag(), flag(), flag(), flag());
-        Serving { listed, drained, out, stopping, handed_over, held_back, changes: watch::Sender::new(()) }
+        Serving {
+            listed,
+            drained,
+            fleet_drained,
+            stopping,
+            handed_over,
+            held_back,
+            changes: watch::Sender::new(()),
+        }
     }
 }
 
@@ -63,7 +71,7 @@
     pub fn state(&self) -> State {
         if self.stopping.get() {
             State::Stopping
-        } else if self.drained.get() || self.out.get() {
+        } else if self.drained.get() || self.fleet_drained.get() {
             State::Drained
         } else if self.handed_over.get() {
             State::HandedOver
@@ -96,12 +104,12 @@
     }
 
     /// Leaves the accept queue to an older process until this one is ready.
-    pub fn hold(&self) {
+    pub fn wait_for_older(&self) {
         self.held_back.set(true);
     }
 
     /// Takes over the accept queue, ready or not, because the older process has ended.
-    pub fn release(&self) {
+    pub fn take_over_queue(&self) {
         self.set(&self.held_back, false);
     }
 
@@ -116,7 +124,7 @@
     }
 
     /// Records that a list of backends is known.
-    pub fn listed(&self) {
+    pub fn set_has_list(&self) {
         self.set(&self.listed, true);
     }
 
@@ -131,13 +139,13 @@
     }
 
     /// Starts or ends a drain by the fleet, which is independent of drains by staff on this proxy.
-    pub fn order_out(&self, out: bool) {
-        self.set(&self.out, out);
+    pub fn set_fleet_drain(&self, drained: bool) {
+        self.set(&self.fleet_drained, drained);
     }
 
     /// Whether it sends clients away on the fleet's order.
-    pub fn is_out(&self) -> bool {
-        self.out.get() && self.sends_away()
+    pub fn is_fleet_drained(&self) -> bool {
+        self.fleet_drained.get() && self.sends_away()
     }
 
     /// Starts the shutdown; final.
@@ -185,7 +193,7 @@
         assert_eq!(serving.state(), State::Starting);
         serving.drain();
         assert!(!serving.is_ready() && serving.sends_away());
-        serving.listed();
+        serving.set_has_list();
         assert_eq!(serving.state(), State::Drained);
         assert!(serving.is_ready() && !serving.is_up(), "a drained process could serve");
         serving.drain();
@@ -200,13 +208,13 @@
     #[test]
     fn drains_by_the_fleet_and_by_staff_are_independent() {
         let serving = Serving::default();
-        serving.listed();
-        serving.order_out(true);
+        serving.set_has_list();
+        serving.set_fleet_drain(true);
         serving.resume();
-        assert!(serving.is_out() && !serving.is_up());
+        assert!(serving.is_fleet_drained() && !serving.is_up());
         serving.drain();
-        serving.order_out(false);
-        assert!(!serving.is_out() && !serving.is_up(), "staff have drained it");
+        serving.set_fleet_drain(false);
+        assert!(!serving.is_fleet_drained() && !serving.is_up(), "staff have drained it");
         serving.resume();
         assert!(serving.is_up());
     }
@@ -214,10 +222,10 @@
     #[test]
     fn one_of_two_processes_accepts() {
         let (old, new) = (Serving::default(), Serving::default());
-        old.listed();
-        new.hold();
+        old.set_has_list();
+        new.wait_for_older();
         assert!(old.accepts() && !new.accepts());
-        new.listed();
+        new.set_has_list();
         old.hand_over(true);
         assert!(!old.accepts() && new.accepts());
         assert!(old.is_up() && old.sends_away(), "the address is up; clients reach the newer process");
@@ -230,8 +238,8 @@
         old.hand_over(true);
         assert_eq!(old.state(), State::Drained);
         let successor = Serving::default();
-        successor.hold();
-        successor.release();
+        successor.wait_for_older();
+        successor.take_over_queue();
         assert!(successor.accepts() && !successor.is_up(), "no other process accepts, as after any start");
     }
 }
--- a/crates/sandgap/src/settings/check.rs
+++ b/crates/sandgap/src/settings/check.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sandgap_problem::{Problem, line, nearest};
+use sandgap_problem::{Problem, line_number, suggestion};
 use toml::de::{DeTable, DeValue};
 use toml::{Spanned, Table as Values, Value};
 
@@ -21,7 +21,7 @@
         let mut reader = Reader { text, problems: Vec::new() };
         let (spanned, errors) = DeTable::parse_recoverable(text);
         for e in &errors {
-            let line = e.span().map_or(0, |s| line(text, s.start));
+            let line = e.span().map_or(0, |s| line_number(text, s.start));
             reader.problems.push(Problem { line, text: e.message().to_owned() });
         }
         let mut values = Values::new();
@@ -33,7 +33,7 @@
 
     /// Adds a problem at a byte offset of the text.
     pub fn add_at(&mut self, at: usize, text: String) {
-        let line = line(self.text, at);
+        let line = line_number(self.text, at);
         self.problems.push(Problem { line, text });
     }
 
@@ -46,8 +46,8 @@
         for (name, value) in file.iter() {
             if !TABLES.iter().any(|t| t.name == name.get_ref()) {
                 let names = TABLES.iter().map(|t| t.name);
-                let nearest = nearest(name.get_ref(), names);
-                self.add_at(name.span().start, format!("unknown table '{}'{nearest}", name.get_ref()));
+                let suggestion = suggestion(name.get_ref(), names);
+                self.add_at(name.span().start, format!("unknown table '{}'{suggestion}", name.get_ref()));
                 continue;
             }
             let table = TABLES.iter().find(|t| t.name == name.get_ref()).expect("just found");
@@ -100,8 +100,8 @@
                         }
                     }
                     None => {
-                        let nearest = nearest(name.get_ref(), table.keys.iter().map(|k| k.name));
-                        let text = format!("[{}] has no key '{}'{nearest}", table.name, name.get_ref());
+                        let suggestion = suggestion(name.get_ref(), table.keys.iter().map(|k| k.name));
+                        let text = format!("[{}] has no key '{}'{suggestion}", table.name, name.get_ref());
                         self.add_at(name.span().start, text);
                     }
                 }
