--- a/crates/sandgap-driver/src/core.rs
+++ b/crates/sandgap-driver/src/core.rs
@@ -477,7 +477,7 @@
             let id = BackendId(number_of(&host.host));
             match host.state() {
                 State::Up => self.closings.record_opening(id),
-                State::Draining | State::Gone => self.record_closing(now, id, host.start_time_ms),
+                State::Draining | State::Removed => self.record_closing(now, id, host.start_time_ms),
             }
         }
         self.apply_list(now, scope, hosts);
@@ -638,10 +638,10 @@
             endpoint.set_place(Place { zone, cell });
             match state {
                 State::Up => endpoint.set_open(true),
-                State::Draining | State::Gone => close_endpoint(endpoint, &mut self.effects),
+                State::Draining | State::Removed => close_endpoint(endpoint, &mut self.effects),
             }
         }
-        if state == State::Gone {
+        if state == State::Removed {
             self.endpoints.remove(&id);
         }
         Backend {
--- a/crates/sandgap-driver/src/endpoint.rs
+++ b/crates/sandgap-driver/src/endpoint.rs
@@ -43,7 +43,7 @@
     pub(crate) fn state(&self) -> State {
         match self.health.as_str() {
             UP if self.address.is_some() => State::Up,
-            REMOVED => State::Gone,
+            REMOVED => State::Removed,
             _ => State::Draining,
         }
     }
--- a/crates/sandgap/src/discovery/timing.rs
+++ b/crates/sandgap/src/discovery/timing.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use wharfhitch::ASK_AGAIN;
+use wharfhitch::DISCOVERY_RETRY_MS;
 
 /// A change that a silent watch missed counts as known this long after the watch fell silent.
 pub(super) const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
@@ -51,7 +51,7 @@
     2 * HEARTBEAT_TIMEOUT.as_millis() + FULL_LIST_TIMEOUT.as_millis() <= NOTIFICATION_DEADLINE.as_millis()
 );
 /// Where discovery is asked, the decision library waits for up to this long after each failed call.
-const RETRY_DELAY_MS: u128 = ASK_AGAIN.1 as u128 + 50;
+const RETRY_DELAY_MS: u128 = DISCOVERY_RETRY_MS.1 as u128 + 50;
 /// Each of these sequences fits into the deadline: a silent watch, then a call that waits for its whole answer timeout;
 /// or a silent watch, then three calls that are refused at once or never connect, then one that is answered; or a new
 /// watch that is silent again, then the full list.
--- a/crates/sandgap/src/driver.rs
+++ b/crates/sandgap/src/driver.rs
@@ -217,7 +217,7 @@
             self.core.effects.dependencies.view.mark_caught_up(now);
             if now >= sweep {
                 self.core.effects.dependencies.pools.iter().for_each(|pool| pool.sweep());
-                let limits = self.core.policy().beliefs();
+                let limits = self.core.policy().limit_estimates();
                 let counts = self.core.effects.dependencies.diagnostics.counts();
                 self.limit_report.update(now.into_std(), limits, &counts, |b| self.core.address(b));
                 sweep = now + SWEEP_INTERVAL;
@@ -265,7 +265,7 @@
             in_flight_at.iter().map(|name| (name.clone(), self.core.in_flight_at(id(name)))).collect();
         let estimates: FxHashMap<BackendId, f64> = match limits_of.is_empty() {
             true => FxHashMap::default(),
-            false => self.core.policy().beliefs().map(|b| (b.backend, b.limit)).collect(),
+            false => self.core.policy().limit_estimates().map(|b| (b.backend, b.limit)).collect(),
         };
         let limit_of = |name: String| {
             let limit = estimates.get(&id(&name))?;
--- a/crates/sandgap/src/generation.rs
+++ b/crates/sandgap/src/generation.rs
@@ -97,7 +97,7 @@
     /// If open requests hold too many classes or too many tenants have been named; the rules in force stay then.
     pub fn change(&mut self, settings: &Settings, names: &Names) -> Result<Change, String> {
         self.past.retain(|g| g.strong_count() > 0);
-        let (classes, fresh) = self.assign_class_numbers(settings, names)?;
+        let (classes, new_classes) = self.assign_class_numbers(settings, names)?;
         let tenants = self.assign_tenant_numbers(settings, names)?;
         self.class_rules.resize_with(self.class_rules.len().max(1 + highest_id(&classes)), || {
             settings.classes[0].clone()
@@ -111,7 +111,7 @@
         let mut settings = settings.clone();
         settings.classes = self.class_rules.clone();
         settings.tenants = self.tenants.clone();
-        Ok(Change { settings, live, fresh })
+        Ok(Change { settings, live, new_classes })
     }
 
     /// Assigns a number to each class: its old one if nothing about the class has changed. A new number inherits the
@@ -121,7 +121,7 @@
         &self, settings: &Settings, names: &Names,
     ) -> Result<(Vec<(String, ClassId, Class)>, Vec<(ClassId, Option<ClassId>)>), String> {
         let held: Vec<Rc<Generation>> = self.past.iter().filter_map(Weak::upgrade).collect();
-        let (mut classes, mut fresh): (Vec<(String, ClassId, Class)>, Vec<_>) = Default::default();
+        let (mut classes, mut new_classes): (Vec<(String, ClassId, Class)>, Vec<_>) = Default::default();
         for (name, class) in names.classes.iter().zip(&settings.classes) {
             let before = self.current.class(name);
             let same = |c: &Class| c == class && self.max_attempts == settings.limits.max_attempts;
@@ -139,13 +139,13 @@
                     ))?;
                     let inherits_from =
                         before.filter(|(_, old)| old.effect == class.effect).map(|(id, _)| id);
-                    fresh.push((id, inherits_from));
+                    new_classes.push((id, inherits_from));
                     id
                 }
             };
             classes.push((name.clone(), id, class.clone()));
         }
-        Ok((classes, fresh))
+        Ok((classes, new_classes))
     }
 
     fn check_tenant_limit(&self, names: &Names) -> Result<(), String> {
@@ -215,7 +215,7 @@
         let change_sent = change(&mut g, &[("submit", "unsafe", 900.0), ("page", "idempotent", 800.0)], 3);
         assert_eq!(g.current().class("submit").expect("there").0, ClassId(1));
         assert_eq!(
-            change_sent.fresh,
+            change_sent.new_classes,
             [(ClassId(2), Some(ClassId(0)))],
             "a changed deadline inherits the learned state"
         );
@@ -227,8 +227,11 @@
     #[test]
     fn a_new_effect_or_attempt_limit_gives_a_new_number() {
         let mut g = start(&[("page", "idempotent", 900.0)]);
-        assert_eq!(change(&mut g, &[("page", "unsafe", 900.0)], 3).fresh, [(ClassId(1), None)]);
-        assert_eq!(change(&mut g, &[("page", "unsafe", 900.0)], 2).fresh, [(ClassId(0), Some(ClassId(1)))]);
+        assert_eq!(change(&mut g, &[("page", "unsafe", 900.0)], 3).new_classes, [(ClassId(1), None)]);
+        assert_eq!(
+            change(&mut g, &[("page", "unsafe", 900.0)], 2).new_classes,
+            [(ClassId(0), Some(ClassId(1)))]
+        );
     }
 
     #[test]
@@ -238,12 +241,12 @@
         for round in 0..40 {
             let effect = if round % 2 == 0 { "unsafe" } else { "idempotent" };
             let change_sent = change(&mut g, &[("page", effect, 900.0)], 3);
-            assert_ne!(change_sent.fresh[0].0, ClassId(0), "round {round}");
+            assert_ne!(change_sent.new_classes[0].0, ClassId(0), "round {round}");
             assert!(change_sent.live.len() <= 3, "numbers are reused once they are free");
         }
         drop(held);
         let change_sent = change(&mut g, &[("other", "unsafe", 900.0)], 3);
-        assert_eq!(change_sent.fresh, [(ClassId(0), None)]);
+        assert_eq!(change_sent.new_classes, [(ClassId(0), None)]);
     }
 
     #[test]
--- a/crates/sandgap/src/limit_report.rs
+++ b/crates/sandgap/src/limit_report.rs
@@ -12,7 +12,7 @@
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusRecorder};
 use rustc_hash::FxHashMap;
 use wharfhitch::limit::ChangeReason;
-use wharfhitch::{BackendId, Belief};
+use wharfhitch::{BackendId, LimitEstimate};
 
 use crate::diagnostics::Event;
 use crate::note;
@@ -56,7 +56,7 @@
 
     /// Logs significant changes and writes the file if due. The work is bounded by the number of listed backends.
     pub fn update(
-        &mut self, now: Instant, beliefs: impl Iterator<Item = Belief>,
+        &mut self, now: Instant, estimates: impl Iterator<Item = LimitEstimate>,
         counts: &[(Event, &'static str, u64)], address: impl Fn(BackendId) -> Option<SocketAddr>,
     ) {
         let due = self.file.as_ref().is_some_and(|f| f.written.is_none_or(|at| now - at >= WRITE_INTERVAL));
@@ -64,21 +64,21 @@
         // removed.
         let recorder = due.then(recorder);
         let (mut lines, mut listed) = (0, 0);
-        for belief in beliefs {
+        for estimate in estimates {
             listed += 1;
-            let Some(address) = address(belief.backend) else { continue };
-            if lines < MAX_LINES && self.should_log(&belief) {
+            let Some(address) = address(estimate.backend) else { continue };
+            if lines < MAX_LINES && self.should_log(&estimate) {
                 lines += 1;
-                self.last_logged.insert(belief.backend, belief.limit);
+                self.last_logged.insert(estimate.backend, estimate.limit);
                 note!(
                     "{address} is believed to hold {:.1} requests (its rating says {:.1}): {}",
-                    belief.limit,
-                    belief.rated,
-                    belief.why.text()
+                    estimate.limit,
+                    estimate.rated,
+                    estimate.why.text()
                 );
             }
             if let Some(recorder) = &recorder {
-                gauge(recorder, &belief, address);
+                gauge(recorder, &estimate, address);
             }
         }
         if self.last_logged.len() > 2 * listed {
@@ -90,11 +90,11 @@
         }
     }
 
-    fn should_log(&self, belief: &Belief) -> bool {
-        let before = self.last_logged.get(&belief.backend).copied();
-        let is_unchanged = belief.why == ChangeReason::Rating && before.is_none();
-        let ratio = belief.limit / before.unwrap_or(belief.rated);
-        !belief.trial && !is_unchanged && !(1.0 / LOG_RATIO..=LOG_RATIO).contains(&ratio)
+    fn should_log(&self, estimate: &LimitEstimate) -> bool {
+        let before = self.last_logged.get(&estimate.backend).copied();
+        let is_unchanged = estimate.why == ChangeReason::Rating && before.is_none();
+        let ratio = estimate.limit / before.unwrap_or(estimate.rated);
+        !estimate.trial && !is_unchanged && !(1.0 / LOG_RATIO..=LOG_RATIO).contains(&ratio)
     }
 }
 
@@ -122,11 +122,11 @@
     });
 }
 
-fn gauge(recorder: &PrometheusRecorder, belief: &Belief, address: SocketAddr) {
+fn gauge(recorder: &PrometheusRecorder, estimate: &LimitEstimate, address: SocketAddr) {
     let backend = address.to_string();
     with_local_recorder(recorder, || {
-        metrics::gauge!("sandgap_backend_limit", "backend" => backend.clone()).set(belief.limit);
-        metrics::gauge!("sandgap_backend_rated", "backend" => backend).set(belief.rated);
+        metrics::gauge!("sandgap_backend_limit", "backend" => backend.clone()).set(estimate.limit);
+        metrics::gauge!("sandgap_backend_rated", "backend" => backend).set(estimate.rated);
     });
 }
 
@@ -160,8 +160,14 @@
 mod tests {
     use super::*;
 
-    fn belief(backend: u64, limit: f64) -> Belief {
-        Belief { backend: BackendId(backend), rated: 1.0, limit, trial: false, why: ChangeReason::Grew }
+    fn estimate(backend: u64, limit: f64) -> LimitEstimate {
+        LimitEstimate {
+            backend: BackendId(backend),
+            rated: 1.0,
+            limit,
+            trial: false,
+            why: ChangeReason::Grew,
+        }
     }
 
     #[tokio::test]
@@ -175,7 +181,7 @@
             let busy = file.busy.clone();
             report.update(
                 start + 2 * WRITE_INTERVAL * i as u32,
-                [belief(backend, 12.0)].into_iter(),
+                [estimate(backend, 12.0)].into_iter(),
                 &[],
                 address,
             );
--- a/src/bin/wharfhitch-wirehost/wire.rs
+++ b/src/bin/wharfhitch-wirehost/wire.rs
@@ -149,7 +149,7 @@
             cell: fields.optional_whole("cell").map_err(at)?.map(CellId),
             state: match fields.get("state") {
                 Some("up") | None => State::Up,
-                Some("removed") => State::Gone,
+                Some("removed") => State::Removed,
                 Some(_) => State::Draining, // draining or unknown: it gets no new requests
             },
             rating: fields.optional_number("rating").map_err(at)?.unwrap_or(1.0),
--- a/src/change.rs
+++ b/src/change.rs
@@ -8,10 +8,10 @@
     /// Applies new settings. This proxy's number and zone, the number of proxies, the discovery and rating modes, the
     /// use of warm keys and of messages, and `most_held` keep their initial values.
     pub(crate) fn apply_settings(&mut self, now: Millis, change: Change) {
-        let Change { settings, live, fresh } = change;
+        let Change { settings, live, new_classes } = change;
         let Settings { classes, tenants, over_share_worth, worth_by_work, prices, limits, .. } = settings;
         let first = |c: &Class| (c.aim / 4.0, 0.0);
-        for (id, previous) in fresh {
+        for (id, previous) in new_classes {
             let (id, new) = (id.0, &classes[id.0]);
             self.resize_classes(now, classes.len());
             // Learned values carry over if the class is the same except for its figures.
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -91,7 +91,7 @@
 const IDLE_NEWS_FRACTION: f64 = 0.3;
 /// Bounds of the delay before discovery is asked again, in ms. However often a call fails, a change of the list
 /// counts as announced within 6 s.
-pub const ASK_AGAIN: (Millis, Millis) = (100.0, 450.0);
+pub const DISCOVERY_RETRY_MS: (Millis, Millis) = (100.0, 450.0);
 /// Full messages that a proxy may spend for each request it receives.
 const MESSAGES_PER_REQUEST: f64 = 0.6;
 /// Age at which a peer's message expires, in ms.
@@ -358,7 +358,8 @@
         // Distrust of health reopens servers that look unhealthy, not those that are merely full.
         let usable = s.withdrawn_at.is_none() && (!unhealthy || self.distrust_health && !s.last_failure_full);
         let cold = s.in_cold_start && warm_fraction < 1.0;
-        let allowed = usable && (!s.health.on_trial || s.own_attempts == 0) && (!cold || s.tokens >= 1.0);
+        let allowed =
+            usable && (!s.health.on_trial || s.own_attempts == 0) && (!cold || s.cold_tokens >= 1.0);
         let (held, usable_slots) = (f64::from(s.held()), s.total_slots * warm_fraction);
         let own = allowed
             && f64::from(s.own_attempts) < s.own_slots.max(if self.cfg.warm_keys { 1.0 } else { 0.0 });
@@ -452,7 +453,7 @@
         let s = &mut self.servers[k];
         s.last_progress = if s.own_attempts == 0 { now } else { s.last_progress };
         s.own_attempts += 1;
-        s.tokens -= 1.0;
+        s.cold_tokens -= 1.0;
         out.push(Action::Send { request: id, backend: s.info.id, timeout: None, before });
         self.update_open(k, now);
     }
@@ -652,11 +653,11 @@
                     / kind.core_latency.min(self.mean_ms * kind.relative_latency.0.max(0.2));
                 let rate = COLD_LOAD_FRACTION * self.cfg.limits.fall_multiple * warm_fraction * capacity
                     / f64::from(self.cfg.proxies);
-                s.tokens += rate * (now - s.tokens_at);
-                s.tokens_at = now;
+                s.cold_tokens += rate * (now - s.cold_tokens_at);
+                s.cold_tokens_at = now;
                 // Unused sends expire: saved up by many proxies, they could all arrive at once in a surge.
-                let excess = s.tokens - 1.0 - rate * COLD_BURST_FRACTION * self.cfg.limits.fall_ms;
-                s.tokens -= excess.max(0.0).ceil();
+                let excess = s.cold_tokens - 1.0 - rate * COLD_BURST_FRACTION * self.cfg.limits.fall_ms;
+                s.cold_tokens -= excess.max(0.0).ceil();
             }
             self.update_cost(k, warm_fraction, now);
         }
@@ -667,8 +668,8 @@
     fn update_list(&mut self, now: Millis, scope: Scope, entries: Vec<Backend>) {
         if scope == Scope::Failed {
             // Ask again, with jitter so that the proxies do not ask all at once.
-            let spread = (ASK_AGAIN.1 - ASK_AGAIN.0) * self.rng.f64();
-            (self.subscribed, self.subscribe_at) = (false, now + ASK_AGAIN.0 + spread);
+            let spread = (DISCOVERY_RETRY_MS.1 - DISCOVERY_RETRY_MS.0) * self.rng.f64();
+            (self.subscribed, self.subscribe_at) = (false, now + DISCOVERY_RETRY_MS.0 + spread);
             return;
         }
         for k in self.record_all(now, scope == Scope::Full, entries) {
@@ -676,7 +677,8 @@
             if s.restarted {
                 // A new process is cold and its health record is reset. The random initial budget keeps the
                 // proxies from all sending their first request at once.
-                (s.restarted, s.in_cold_start, s.tokens, s.tokens_at) = (false, true, self.rng.f64(), now);
+                (s.restarted, s.in_cold_start, s.cold_tokens, s.cold_tokens_at) =
+                    (false, true, self.rng.f64(), now);
                 s.reset_health(now);
             }
             self.update_slots(k);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -172,7 +172,7 @@
     /// Finishes its requests and accepts no new ones.
     Draining,
     /// Removed from the list.
-    Gone,
+    Removed,
 }
 
 /// An entry of the server list.
@@ -244,7 +244,7 @@
     pub live: Vec<bool>,
     /// Class numbers that are new, or reused because no request holds them, each with the class whose learned values
     /// carry over, if any: the same class under its earlier figures.
-    pub fresh: Vec<(ClassId, Option<ClassId>)>,
+    pub new_classes: Vec<(ClassId, Option<ClassId>)>,
 }
 
 /// Input of a proxy.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,11 +4,11 @@
 //! [`Action`]s that it returns.
 #![doc = include_str!("../README.md")]
 
-mod belief;
 mod change;
 mod choice;
 pub mod interface;
 pub mod limit;
+mod limit_estimate;
 mod long;
 mod message;
 #[cfg(feature = "settings")]
@@ -16,7 +16,7 @@
 mod slots;
 mod state;
 
-pub use belief::Belief;
-pub use choice::{ASK_AGAIN, threshold};
+pub use choice::{DISCOVERY_RETRY_MS, threshold};
 pub use interface::*;
+pub use limit_estimate::LimitEstimate;
 pub use state::Balancer;
--- a/src/belief.rs
+++ b/src/limit_estimate.rs
@@ -5,7 +5,7 @@
 
 /// The current estimate of a server's concurrency limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Belief {
+pub struct LimitEstimate {
     /// The server.
     pub backend: BackendId,
     /// Requests that it can hold according to its rating.
@@ -20,8 +20,8 @@
 
 impl Balancer {
     /// The current estimate for each listed server.
-    pub fn beliefs(&self) -> impl Iterator<Item = Belief> {
-        self.servers.iter().filter(|s| s.withdrawn_at.is_none()).map(|s| Belief {
+    pub fn limit_estimates(&self) -> impl Iterator<Item = LimitEstimate> {
+        self.servers.iter().filter(|s| s.withdrawn_at.is_none()).map(|s| LimitEstimate {
             backend: s.info.id,
             rated: s.rated_slots,
             limit: s.total_slots,
--- a/src/state.rs
+++ b/src/state.rs
@@ -39,8 +39,8 @@
     pub last_progress: Millis, // time of the last answer, or of the send that ended an idle period
     pub restarted: bool,   // the list has just announced a new process
     pub in_cold_start: bool, // first listed within its cold period: sends are budgeted
-    pub tokens: f64,       // sends left in a cold server's budget
-    pub tokens_at: Millis,
+    pub cold_tokens: f64,  // sends left in a cold server's budget
+    pub cold_tokens_at: Millis,
     pub kind: usize,                     // index of its kind of machine; 0 if unknown
     pub rated_slots: f64,                // slots according to the rating
     pub total_slots: f64,                // slots for all proxies together
@@ -74,8 +74,8 @@
             last_progress: now,
             restarted: false,
             in_cold_start: false,
-            tokens: 0.0,
-            tokens_at: now,
+            cold_tokens: 0.0,
+            cold_tokens_at: now,
             kind: 0,
             rated_slots: 1.0,
             total_slots: 1.0,
@@ -559,7 +559,7 @@
     }
 
     /// Number of server entries, including vacant ones.
-    pub fn places(&self) -> usize {
+    pub fn server_entries(&self) -> usize {
         self.servers.len()
     }
 
@@ -580,7 +580,7 @@
     /// Marks the entries of removed servers as vacant once no request, slot or peer refers to them. Otherwise
     /// memory would grow, as servers come and go for as long as the process runs.
     pub(crate) fn reclaim_vacant(&mut self, now: Millis) {
-        let left = |s: &Server| s.info.state == State::Gone && s.own_attempts == 0 && s.home_waiting == 0;
+        let left = |s: &Server| s.info.state == State::Removed && s.own_attempts == 0 && s.home_waiting == 0;
         let mut free: Vec<bool> = self.servers.iter().map(left).collect();
         self.vacant.iter().for_each(|&k| free[k] = false);
         let requests = self.requests.values();
@@ -620,7 +620,7 @@
             listed.iter().for_each(|&k| left[k] = false);
             for k in (0..left.len()).filter(|&k| left[k]) {
                 let s = &mut self.servers[k];
-                (s.withdrawn_at, s.info.state) = (s.withdrawn_at.or(Some(now)), State::Gone);
+                (s.withdrawn_at, s.info.state) = (s.withdrawn_at.or(Some(now)), State::Removed);
                 listed.push(k);
             }
         }
--- a/tests/change.rs
+++ b/tests/change.rs
@@ -10,11 +10,12 @@
     (Harness::new(settings.clone(), servers), settings)
 }
 
-/// A change to new settings. `live` says for each class whether it still accepts requests; `fresh` lists the new
+/// A change to new settings. `live` says for each class whether it still accepts requests; `new_classes` lists the new
 /// classes, each with the class whose learned values carry over, if any.
-fn change(settings: Settings, live: Vec<bool>, fresh: Vec<(usize, Option<usize>)>) -> Event {
-    let fresh = fresh.into_iter().map(|(id, previous)| (ClassId(id), previous.map(ClassId))).collect();
-    Event::Settings(Box::new(Change { settings, live, fresh }))
+fn change(settings: Settings, live: Vec<bool>, new_classes: Vec<(usize, Option<usize>)>) -> Event {
+    let new_classes =
+        new_classes.into_iter().map(|(id, previous)| (ClassId(id), previous.map(ClassId))).collect();
+    Event::Settings(Box::new(Change { settings, live, new_classes }))
 }
 
 /// Number of attempts among the actions.
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -383,7 +383,7 @@
         harness.give(request(1, 2, 1e9)); // keyed: the first server must be known until the request ends
         let entry = |id: u64, state| Backend { state, ..server(id) };
         for id in 1..3000 {
-            let entries = vec![entry(id, State::Up), entry(id - 1, State::Gone)];
+            let entries = vec![entry(id, State::Up), entry(id - 1, State::Removed)];
             let mut actions = harness.give(Event::List { scope: Scope::Delta, entries });
             actions.extend(harness.pass(120.0));
             actions.extend(harness.give(request(10 * id, 0, 3000.0)));
@@ -398,7 +398,7 @@
                 }
             }
         }
-        assert!(harness.balancer.places() <= 8, "{} places", harness.balancer.places());
+        assert!(harness.balancer.server_entries() <= 8, "{} places", harness.balancer.server_entries());
     }
 }
 
@@ -502,7 +502,9 @@
     assert!(harness.pass(25.0).contains(&Action::Subscribe));
     for _ in 0..20 {
         harness.give(Event::List { scope: Scope::Failed, entries: vec![] });
-        assert!(!harness.pass(ASK_AGAIN.0 - 1.0).contains(&Action::Subscribe), "not all at once");
-        assert!(harness.pass(ASK_AGAIN.1 - ASK_AGAIN.0 + 25.0).contains(&Action::Subscribe));
+        assert!(!harness.pass(DISCOVERY_RETRY_MS.0 - 1.0).contains(&Action::Subscribe), "not all at once");
+        assert!(
+            harness.pass(DISCOVERY_RETRY_MS.1 - DISCOVERY_RETRY_MS.0 + 25.0).contains(&Action::Subscribe)
+        );
     }
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -104,7 +104,7 @@
             }
             1 | 2 if n > 0 => {
                 let k = self.rng.usize(0..self.list.len());
-                let states = [State::Draining, State::Gone, State::Up];
+                let states = [State::Draining, State::Removed, State::Up];
                 self.list[k].state = states[self.rng.usize(0..3)];
                 entries.push(self.list[k].clone());
             }
@@ -116,7 +116,7 @@
             }
             4 => return self.give(Event::List { scope: Scope::Failed, entries: vec![] }),
             _ => {
-                self.list.retain(|b| b.state != State::Gone);
+                self.list.retain(|b| b.state != State::Removed);
                 let entries = self.list.clone();
                 return self.give(full(entries));
             }
--- a/tests/unrated.rs
+++ b/tests/unrated.rs
@@ -35,9 +35,9 @@
 fn congestion_lowers_the_estimate_before_anything_is_learned() {
     let mut harness = Harness::new(unrated(1, false, 300.0), (1..=12).map(server).collect());
     harness.train(0, 120, |_| 25.0);
-    let before: f64 = harness.balancer.beliefs().map(|b| b.rated).sum();
+    let before: f64 = harness.balancer.limit_estimates().map(|b| b.rated).sum();
     harness.train(1000, 400, |_| 100.0);
     harness.pass(2000.0);
-    let after: f64 = harness.balancer.beliefs().map(|b| b.rated).sum();
+    let after: f64 = harness.balancer.limit_estimates().map(|b| b.rated).sum();
     assert!(after < before / 2.0, "{after} of {before}");
 }
