--- a/crates/sandgap-agree/src/follower.rs
+++ b/crates/sandgap-agree/src/follower.rs
@@ -10,14 +10,14 @@
 use std::rc::Rc;
 
 use sandgap_fleet::Time;
-use sandgap_fleet::lease::{Asker, Lease, Right};
+use sandgap_fleet::lease::{Lease, LeasePermission, RequestTracker};
 
+use crate::enrolment::{Enrolment, EnrolmentEvent};
 use crate::limits::{MAX_RIDER_MESSAGE_BYTES, MAX_RIDER_MESSAGES};
-use crate::rider::{Tag, Told};
+use crate::messages::{Grant, Report, RulesState};
+use crate::rider::{RiderMessages, Tag};
 use crate::rulebook::{Digest, Rulebook, Version, digest};
-use crate::tenure::{Holder, Turn};
-use crate::terms::Span;
-use crate::words::{Grant, Report, Standing};
+use crate::timing::LeaseBound;
 
 /// Most rulebooks held: that of the active version, of the one in force, of the pending one, and an earlier one.
 const MAX_HELD_BOOKS: usize = 4;
@@ -44,20 +44,20 @@
 
 /// The right to take one request now, under a version.
 #[derive(Debug)]
-pub struct Taking<'a> {
+pub struct TakePermission<'a> {
     /// The version.
     pub version: Version,
     /// The lease behind it.
-    pub right: Right<'a>,
+    pub permission: LeasePermission<'a>,
 }
 
 /// A proxy's state about agreed rules, see the module.
 #[derive(Debug)]
 pub struct Follower {
-    span: Span,
-    asker: Asker,
+    lease_bound: LeaseBound,
+    tracker: RequestTracker,
     /// The last known version in force and pending version.
-    known: Standing,
+    known: RulesState,
     /// The version acted on; 0 for none.
     acting: Version,
     /// The lease on the version acted on.
@@ -72,18 +72,18 @@
     /// Requests refused for lack of a lease.
     refused: u64,
     /// The enrolment of this process, if it wants one.
-    holder: Option<Holder>,
+    enrolment: Option<Enrolment>,
     /// Messages to the riders of the log, sent with each lease request.
-    rider_messages: Told,
+    rider_messages: RiderMessages,
 }
 
 impl Follower {
-    /// A follower without any knowledge. `first` is random at each start, see [`Asker`].
-    pub fn new(span: Span, first: u64) -> Self {
+    /// A follower without any knowledge. `first` is random at each start, see [`RequestTracker`].
+    pub fn new(lease_bound: LeaseBound, first: u64) -> Self {
         Follower {
-            span,
-            asker: Asker::new(first),
-            known: Standing::default(),
+            lease_bound,
+            tracker: RequestTracker::new(first),
+            known: RulesState::default(),
             acting: 0,
             lease: Lease::default(),
             ahead_lease: Lease::default(),
@@ -91,13 +91,13 @@
             unusable: None,
             looked: None,
             refused: 0,
-            holder: None,
-            rider_messages: Told::new(),
+            enrolment: None,
+            rider_messages: RiderMessages::new(),
         }
     }
 
     /// Sets the message to a rider of the log that is sent with each lease request; empty for none.
-    pub fn tell(&mut self, tag: Tag, bytes: Vec<u8>) {
+    pub fn set_rider_message(&mut self, tag: Tag, bytes: Vec<u8>) {
         self.rider_messages.retain(|(t, _)| *t != tag);
         if !bytes.is_empty()
             && bytes.len() <= MAX_RIDER_MESSAGE_BYTES
@@ -108,60 +108,61 @@
     }
 
     /// Makes this process enrol as a life from now on.
-    pub fn enlist(&mut self, holder: Holder) {
-        self.holder = Some(holder);
+    pub fn enrol(&mut self, enrolment: Enrolment) {
+        self.enrolment = Some(enrolment);
     }
 
     /// The enrolment of this process, if it wants one.
-    pub fn holder(&self) -> Option<&Holder> {
-        self.holder.as_ref()
+    pub fn enrolment(&self) -> Option<&Enrolment> {
+        self.enrolment.as_ref()
     }
 
     /// Mutable access to the enrolment of this process.
-    pub fn holder_mut(&mut self) -> Option<&mut Holder> {
-        self.holder.as_mut()
+    pub fn enrolment_mut(&mut self) -> Option<&mut Enrolment> {
+        self.enrolment.as_mut()
     }
 
     /// The number and the report of a lease request that is sent now.
     pub fn ask(&mut self, now: Time) -> (u64, Report) {
-        let number = self.asker.ask(now);
+        let number = self.tracker.record_request(now);
         let lease_ms = u32::try_from(self.lease.left(now).as_millis()).unwrap_or(u32::MAX);
         let looked = self.looked.clone();
-        let draw = self.holder.as_ref().map_or(0, Holder::draw);
-        let (acting, refused, told) = (self.acting, self.refused, self.rider_messages.clone());
-        let report = Report { serial: number, acting, looked, lease_ms, refused, draw, told };
+        let process_token = self.enrolment.as_ref().map_or(0, Enrolment::process_token);
+        let (acting, refused, rider_messages) = (self.acting, self.refused, self.rider_messages.clone());
+        let report =
+            Report { serial: number, acting, looked, lease_ms, refused, process_token, rider_messages };
         (number, report)
     }
 
     /// Processes a grant.
-    pub fn granted(&mut self, now: Time, grant: &Grant, turns: &mut Vec<Turn>) -> Vec<Step> {
-        let Some(asked) = self.asker.answered(grant.number) else { return Vec::new() };
-        if let (Some(holder), Some(tenure)) = (&mut self.holder, &grant.tenure) {
-            holder.granted(asked, tenure, self.span, turns);
+    pub fn granted(&mut self, now: Time, grant: &Grant, events: &mut Vec<EnrolmentEvent>) -> Vec<Step> {
+        let Some(asked) = self.tracker.take_request(grant.number) else { return Vec::new() };
+        if let (Some(enrolment), Some(state)) = (&mut self.enrolment, &grant.enrolment) {
+            enrolment.granted(asked, state, self.lease_bound, events);
         }
         let steps = self.receive_news(now, &grant.standing);
         let standing = &grant.standing;
         // If the granted version is the active one or an older one, the knowledge here is as fresh as the request.
         if standing.version <= self.acting && !self.known.closed {
-            self.lease.granted(asked, self.span.bound, self.span.drift);
+            self.lease.granted(asked, self.lease_bound.bound, self.lease_bound.drift);
         } else if standing.version == self.known.version && !standing.closed {
-            self.ahead_lease.granted(asked, self.span.bound, self.span.drift);
+            self.ahead_lease.granted(asked, self.lease_bound.bound, self.lease_bound.drift);
         }
         steps
     }
 
     /// Processes news of the version in force and the pending one. It grants no lease; news from earlier in the log is
     /// ignored.
-    pub fn receive_news(&mut self, now: Time, standing: &Standing) -> Vec<Step> {
+    pub fn receive_news(&mut self, now: Time, standing: &RulesState) -> Vec<Step> {
         if standing.index < self.known.index {
             return Vec::new();
         }
         if standing.version > self.known.version {
-            self.ahead_lease.give_back();
+            self.ahead_lease.release();
         }
         self.known = standing.clone();
         if self.known.closed {
-            self.lease.give_back();
+            self.lease.release();
         }
         self.next_steps(now)
     }
@@ -205,7 +206,7 @@
         }
         if self.acting == version {
             self.acting = 0;
-            self.lease.give_back();
+            self.lease.release();
             self.unusable = Some(why.to_owned());
         }
     }
@@ -240,7 +241,7 @@
             self.lease = ahead_lease;
         }
         if self.known.closed {
-            self.lease.give_back();
+            self.lease.release();
         }
         self.evict_books();
     }
@@ -261,11 +262,11 @@
 
     /// The right to take a request now; `None` if the lease has lapsed or there is no version to act on. To be called
     /// for each request, and again before a request's first byte goes to a backend.
-    pub fn take(&self, now: Time) -> Option<Taking<'_>> {
+    pub fn take(&self, now: Time) -> Option<TakePermission<'_>> {
         if self.acting == 0 || self.known.closed {
             return None;
         }
-        Some(Taking { version: self.acting, right: self.lease.right(now)? })
+        Some(TakePermission { version: self.acting, permission: self.lease.permission(now)? })
     }
 
     /// Counts a request that was refused for lack of a lease.
@@ -285,7 +286,7 @@
     }
 
     /// The last known version in force and pending version.
-    pub fn known(&self) -> &Standing {
+    pub fn known(&self) -> &RulesState {
         &self.known
     }
 
@@ -323,17 +324,24 @@
         (bytes, digest)
     }
 
-    fn standing(index: u64, version: Version) -> Standing {
-        Standing { index, version, digest: book(version as u32).1, closed: false, pending: None }
+    fn standing(index: u64, version: Version) -> RulesState {
+        RulesState { index, version, digest: book(version as u32).1, closed: false, pending: None }
     }
 
     fn follower() -> Follower {
-        Follower::new(Span { bound: ms(T), drift: Drift::ppm(0) }, 40)
+        Follower::new(LeaseBound { bound: ms(T), drift: Drift::ppm(0) }, 40)
     }
 
-    fn grant(f: &mut Follower, asked: u64, now: u64, standing: Standing) -> Vec<Step> {
+    fn grant(f: &mut Follower, asked: u64, now: u64, standing: RulesState) -> Vec<Step> {
         let (number, _) = f.ask(ms(asked));
-        let grant = Grant { number, origin: None, standing, voters: Vec::new(), tenure: None, told: vec![] };
+        let grant = Grant {
+            number,
+            origin: None,
+            standing,
+            voters: Vec::new(),
+            enrolment: None,
+            rider_messages: vec![],
+        };
         f.granted(ms(now), &grant, &mut Vec::new())
     }
 
@@ -387,7 +395,7 @@
         let mut f = follower();
         grant(&mut f, 0, 5, standing(1, 1));
         act(&mut f, 10, 1);
-        f.receive_news(ms(20), &Standing { closed: true, ..standing(9, 1) });
+        f.receive_news(ms(20), &RulesState { closed: true, ..standing(9, 1) });
         assert_eq!(version(&f, 21), None);
         f.receive_news(ms(30), &standing(8, 1));
         grant(&mut f, 31, 32, standing(8, 1));
@@ -427,7 +435,7 @@
         for v in 1..40 {
             f.receive_news(
                 ms(v),
-                &Standing { pending: Some((v + 1, book(v as u32 + 1).1)), ..standing(v, v) },
+                &RulesState { pending: Some((v + 1, book(v as u32 + 1).1)), ..standing(v, v) },
             );
             f.receive_book(v, &book(v as u32).0);
             f.checked(ms(v), v, Ok(()));
--- a/crates/sandgap-lab/src/agree/simulation.rs
+++ b/crates/sandgap-lab/src/agree/simulation.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 
 use rand::RngExt;
-use sandgap_agree::Span;
-use sandgap_agree::lives::{Claim, Epoch, Life};
+use sandgap_agree::LeaseBound;
+use sandgap_agree::enrolment::EnrolmentEvent;
+use sandgap_agree::lives::{Epoch, ProcessId, Succession};
 use sandgap_agree::log::Write;
 use sandgap_agree::machine::{Proposal, Verdict};
+use sandgap_agree::messages::Message;
 use sandgap_agree::rulebook::{Class, Effect, Limits, OnLapse, digest};
-use sandgap_agree::tenure::Turn;
-use sandgap_agree::words::Word;
-use sandgap_agree::{Agent, Digest, Output, Rulebook, Terms, Version};
+use sandgap_agree::{Agent, Digest, Output, Rulebook, Timing, Version};
 use sandgap_fleet::{Drift, Time};
 
 use super::checker::{Checker, Findings};
@@ -33,7 +33,7 @@
     Message {
         to: usize,
         from: String,
-        message: Word,
+        message: Message,
     },
     /// A process's timer fires.
     Timer {
@@ -184,37 +184,40 @@
             Event::UpdateMembers => self.update_members(),
             Event::Settled { node, incarnation, epoch } => {
                 if self.nodes[node].host.incarnation == incarnation {
-                    self.with(node, |agent, now| agent.settled(now, epoch));
+                    self.with(node, |agent, now| agent.report_settled(now, epoch));
                 }
             }
             Event::Missed(node, gone) => {
                 if self.nodes[gone].agent.is_none() && !self.nodes[node].host.paused {
                     let name = self.nodes[gone].host.name.clone();
-                    self.with(node, |agent, now| agent.missed(now, &name));
+                    self.with(node, |agent, now| agent.report_unreachable(now, &name));
                 }
             }
         }
     }
 
-    fn terms(&self, node: usize) -> Terms {
-        let terms = self.setup.terms();
-        let span = |bound, drift| Span { bound, drift };
+    fn timing(&self, node: usize) -> Timing {
+        let timing = self.setup.timing();
+        let lease_bound = |bound, drift| LeaseBound { bound, drift };
         match self.setup.flaw {
-            Some(Flaw::LongLease) => {
-                Terms { span: span(self.setup.bound * 3 / 2, terms.span.drift), ..terms }
-            }
+            Some(Flaw::LongLease) => Timing {
+                lease_bound: lease_bound(self.setup.bound * 3 / 2, timing.lease_bound.drift),
+                ..timing
+            },
             Some(Flaw::HeirTooSoon) if node < self.setup.voters => {
-                Terms { span: span(self.setup.bound / 4, Drift::ppm(0)), ..terms }
-            }
-            Some(Flaw::NoWait) if node < self.setup.voters => {
-                Terms { span: span(self.setup.bound, Drift::ppm(0)), apart: false, ..terms }
+                Timing { lease_bound: lease_bound(self.setup.bound / 4, Drift::ppm(0)), ..timing }
             }
-            _ => terms,
+            Some(Flaw::NoWait) if node < self.setup.voters => Timing {
+                lease_bound: lease_bound(self.setup.bound, Drift::ppm(0)),
+                keep_apart: false,
+                ..timing
+            },
+            _ => timing,
         }
     }
 
     fn start(&mut self, n: usize, with_disk: bool) {
-        let terms = self.terms(n);
+        let timing = self.timing(n);
         let voters: Vec<(String, SocketAddr)> =
             self.nodes[..self.setup.voters].iter().map(|v| (v.host.name.clone(), v.host.address)).collect();
         let now = self.now();
@@ -223,7 +226,7 @@
         if node.agent.is_some() {
             return;
         }
-        let (agent, votes) = node.host.start(now, with_disk, terms, voters, random);
+        let (agent, votes) = node.host.start(now, with_disk, timing, voters, random);
         if let Err(e) = votes {
             self.checker.violations.push(format!("p{n} can't start from its disk: {e}"));
         }
@@ -243,12 +246,12 @@
         self.with(n, |agent, now| agent.fire(now));
     }
 
-    fn receive(&mut self, to: usize, from: String, message: Word) {
+    fn receive(&mut self, to: usize, from: String, message: Message) {
         if self.nodes[to].host.paused {
             self.nodes[to].host.deferred.push_back(Event::Message { to, from, message });
             return;
         }
-        self.with(to, |agent, now| agent.hear(now, &from, message));
+        self.with(to, |agent, now| agent.receive(now, &from, message));
     }
 
     fn written(&mut self, n: usize, incarnation: u32, write: Write) {
@@ -259,7 +262,7 @@
         if self.setup.flaw != Some(Flaw::Unsynced)
             && let Some(disk) = &mut self.nodes[n].host.disk
         {
-            disk.put(&write);
+            disk.apply(&write);
         }
         if self.nodes[n].host.paused {
             // The disk goes on while the process is paused; the process learns of the write when it resumes.
@@ -299,7 +302,7 @@
 
     fn carry_out(&mut self, n: usize, output: Output) {
         match output {
-            Output::Say(to, _, message) => self.send(n, &to, message),
+            Output::Send(to, _, message) => self.send(n, &to, message),
             Output::Write(write) => self.write(n, write),
             Output::Check(version, book) => {
                 let usable = match self.nodes[n].unusable.contains(&book.limits.max_attempts) {
@@ -315,31 +318,31 @@
                 let name = digest(&book.encode().unwrap_or_default());
                 self.checker.record_content(version, name, &book);
             }
-            Output::Turn(Turn::Heir(claim)) => self.succeed(n, &claim),
-            Output::Turn(_) | Output::Told(..) | Output::Note(_) => {}
+            Output::Enrolment(EnrolmentEvent::BecameSuccessor(succession)) => self.succeed(n, &succession),
+            Output::Enrolment(_) | Output::RiderMessages(..) | Output::Log(_) => {}
         }
     }
 
-    fn succeed(&mut self, n: usize, claim: &Claim) {
+    fn succeed(&mut self, n: usize, succession: &Succession) {
         let (now, node) = (self.now(), &self.nodes[n]);
-        let (incarnation, epoch) = (node.host.incarnation, claim.epoch);
+        let (incarnation, epoch) = (node.host.incarnation, succession.epoch);
         if let Some((token, until)) = Self::token(node, now) {
             self.succession.record_right(token, until);
-            self.succession.record_successor(now, token, claim);
+            self.succession.record_successor(now, token, succession);
         }
         let settling = self.rng.random_range(MS..300 * MS);
         self.events.push(now + settling, Event::Settled { node: n, incarnation, epoch });
     }
 
     /// The process token under which a process may act, and until when.
-    fn token(node: &Node, now: Nanos) -> Option<(Life, Nanos)> {
-        let holder = node.agent.as_ref()?.holder()?;
-        let until = holder.right(node.host.clock.local(now))?.until();
-        Some((holder.life()?, node.host.clock.shown(until)))
+    fn token(node: &Node, now: Nanos) -> Option<(ProcessId, Nanos)> {
+        let enrolment = node.agent.as_ref()?.enrolment()?;
+        let until = enrolment.permission(node.host.clock.local(now))?.until();
+        Some((enrolment.life()?, node.host.clock.shown(until)))
     }
 
-    fn send(&mut self, from: usize, to: &str, message: Word) {
-        if let Word::Published(id, verdict) = &message {
+    fn send(&mut self, from: usize, to: &str, message: Message) {
+        if let Message::Published(id, verdict) = &message {
             return self.publish_answered(*id, verdict);
         }
         let Some(to) = self.nodes.iter().position(|node| node.host.name == to) else { return };
@@ -363,7 +366,7 @@
             if late < 25 * MS
                 && let Some(disk) = &mut self.nodes[n].host.disk
             {
-                disk.put(&write);
+                disk.apply(&write);
             }
             return;
         }
@@ -378,7 +381,8 @@
         }
         let node = &mut self.nodes[n];
         let local = node.host.clock.local(now);
-        let right = node.agent.as_ref().and_then(|a| a.take(local)).map(|t| (t.version, t.right.until()));
+        let right =
+            node.agent.as_ref().and_then(|a| a.take(local)).map(|t| (t.version, t.permission.until()));
         let right = right.map(|(version, until)| (version, node.host.clock.shown(until)));
         let before = node.right.take();
         if let Some((version, from, until)) = before {
@@ -442,13 +446,13 @@
         let id = self.proposals;
         self.published.insert(id, (now, digest(&book)));
         let proposal = Proposal { id, parent, book, by: PUBLISHER.into(), why: String::new() };
-        let message = Word::Publish(proposal);
+        let message = Message::Publish(proposal);
         self.events.push(now + MS, Event::Message { to: voter, from: PUBLISHER.into(), message });
     }
 
     fn publish_answered(&mut self, id: u64, verdict: &Verdict) {
         let Some((at, name)) = self.published.get(&id).copied() else { return };
-        if let Verdict::PutForward(version) = verdict {
+        if let Verdict::Pending(version) = verdict {
             self.checker.record_acknowledged(*version, name);
             self.unfinished.insert(*version, at);
         }
@@ -465,7 +469,7 @@
         for node in &mut self.nodes {
             let others = up.iter().filter(|name| **name != node.host.name).cloned().collect();
             if let Some(agent) = &mut node.agent {
-                agent.present(others);
+                agent.set_peers(others);
             }
         }
     }
@@ -487,7 +491,7 @@
 
     fn kill(&mut self, n: usize, restart_at: Nanos, with_disk: bool) {
         self.update_right(n);
-        let token = self.nodes[n].agent.as_ref().and_then(|a| a.holder()).and_then(|h| h.life());
+        let token = self.nodes[n].agent.as_ref().and_then(|a| a.enrolment()).and_then(|h| h.life());
         if self.nodes[n].agent.take().is_none() {
             return;
         }
@@ -538,7 +542,8 @@
         self.found
     }
 
-    /// Checks that after the faults every proxy acts on the version in force, and every voter has what was acknowledged.
+    /// Checks that after the faults every proxy acts on the version in force, and every voter has what was
+    /// acknowledged.
     fn check_recovery(&mut self) {
         let voters: Vec<&Agent> = self.nodes.iter().filter_map(|n| n.agent.as_ref()).collect();
         let standing =
@@ -558,7 +563,10 @@
                     "p{n} acts on version {acting} (lease: {lease}) after recovery, but {standing} is in force"
                 ));
             }
-            if agent.holder().is_none_or(|h| h.right(node.host.clock.local(self.events.now())).is_none()) {
+            if agent
+                .enrolment()
+                .is_none_or(|h| h.permission(node.host.clock.local(self.events.now())).is_none())
+            {
                 failures.push(format!("p{n} has no valid process token after recovery"));
             }
             if n < self.setup.voters {
@@ -566,7 +574,7 @@
                     failures.push(format!("p{n} no longer votes"));
                     continue;
                 };
-                if !voter.machine().lives().estates().is_empty() {
+                if !voter.machine().lives().unsettled().is_empty() {
                     failures.push(format!("p{n}: process tokens that ended were never settled"));
                 }
                 if voter.machine().standing() != standing || !voter.is_seated() {
--- a/crates/sandgap-rig/src/scale/hollow.rs
+++ b/crates/sandgap-rig/src/scale/hollow.rs
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use sandgap_agree::words::Word;
+use sandgap_agree::messages::Message;
 use sandgap_agree::{Agent, Output, Version};
 use sandgap_fleet::frame::Key;
 use sandgap_fleet::link::{Incoming, Links};
-use sandgap_fleet::members::{Gossip, Pace};
+use sandgap_fleet::members::{Gossip, ProbeTiming};
 use sandgap_fleet::{Identity, Members};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -183,14 +183,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (sender, incoming) = mpsc::channel(INCOMING_CAPACITY);
         let links = Links::new(key, name.clone(), sender);
-        let terms = super::terms(Duration::from_millis(setup.bound_ms));
+        let timing = super::timing(Duration::from_millis(setup.bound_ms));
         let seed = fastrand::Rng::with_seed(unix_us().wrapping_add(number as u64)).u64(1..);
         let address = listener.local_addr()?;
         let me = Identity { name: name.clone(), address, incarnation: unix_us(), zone: None };
         tokio::task::spawn_local(links.clone().serve(listener));
         Ok(Rc::new(RefCell::new(Hollow {
-            agent: Agent::new(now(), &name, terms, setup.voters.clone(), seed),
-            members: Members::new(me, Pace::default(), seed),
+            agent: Agent::new(now(), &name, timing, setup.voters.clone(), seed),
+            members: Members::new(me, ProbeTiming::default(), seed),
             name,
             links,
             incoming,
@@ -217,11 +217,11 @@
 
     fn run_due_timers(&mut self) {
         let at = now();
-        let gossip = self.members.fire(at);
+        let gossip = self.members.run_due_timers(at);
         self.send_gossip(gossip);
         if self.agent.next_due() <= at {
             let others = self.members.present().into_iter().map(|m| m.name);
-            self.agent.present(others.filter(|name| *name != self.name).collect());
+            self.agent.set_peers(others.filter(|name| *name != self.name).collect());
             self.agent.fire(at);
         }
         self.handle_outputs();
@@ -236,38 +236,38 @@
         let Incoming { from, channel, body } = incoming;
         match channel {
             MEMBERSHIP_CHANNEL => {
-                let gossip = self.members.hear(now(), &body);
+                let gossip = self.members.handle_message(now(), &body);
                 self.send_gossip(gossip);
             }
             RULES_CHANNEL => {
-                let Some(word) = Word::decode(&body) else { return };
-                self.count_received(&word, body.len());
-                self.agent.hear(now(), &from, word);
+                let Some(message) = Message::decode(&body) else { return };
+                self.count_received(&message, body.len());
+                self.agent.receive(now(), &from, message);
                 self.handle_outputs();
             }
             _ => {}
         }
     }
 
-    fn count_received(&self, word: &Word, bytes: usize) {
+    fn count_received(&self, message: &Message, bytes: usize) {
         let mut tally = self.tally.borrow_mut();
-        if let Word::Grant(grant) = word {
+        if let Message::Grant(grant) = message {
             tally.log_index = tally.log_index.max(grant.standing.index);
         }
-        let traffic = match word {
-            Word::Grant(_) => &mut tally.grants,
-            Word::News(_) => &mut tally.news,
-            Word::Book(..) => &mut tally.books,
+        let traffic = match message {
+            Message::Grant(_) => &mut tally.grants,
+            Message::News(_) => &mut tally.news,
+            Message::Book(..) => &mut tally.books,
             _ => &mut tally.other,
         };
         traffic.add(bytes);
     }
 
-    fn count_sent(&self, word: &Word, bytes: usize) {
+    fn count_sent(&self, message: &Message, bytes: usize) {
         let mut tally = self.tally.borrow_mut();
-        let traffic = match word {
-            Word::Ask(_) => &mut tally.asks,
-            Word::Fetch(_) => &mut tally.fetches,
+        let traffic = match message {
+            Message::Ask(_) => &mut tally.asks,
+            Message::Fetch(_) => &mut tally.fetches,
             _ => &mut tally.other,
         };
         traffic.add(bytes);
@@ -283,33 +283,34 @@
     fn handle_outputs(&mut self) {
         while let Some(output) = self.agent.poll() {
             match output {
-                Output::Say(to, address, word) => self.send(&to, address, &word),
+                Output::Send(to, address, message) => self.send(&to, address, &message),
                 Output::Check(version, _) => self.agent.checked(now(), version, Ok(())),
                 Output::Act(version, _) => self.record_acting(version),
-                Output::Write(_) | Output::Turn(_) | Output::Told(_) | Output::Note(_) => {}
+                Output::Write(_) | Output::Enrolment(_) | Output::RiderMessages(_) | Output::Log(_) => {}
             }
         }
     }
 
-    fn send(&mut self, to: &str, address: Option<SocketAddr>, word: &Word) {
-        let bytes = word.encode();
-        if let Word::Ask(ask) = word
+    fn send(&mut self, to: &str, address: Option<SocketAddr>, message: &Message) {
+        let bytes = message.encode();
+        if let Message::Ask(ask) = message
             && ask.origin.is_none()
             && self.last_request.replace(ask.number) != Some(ask.number)
         {
             self.tally.borrow_mut().questions += 1;
         }
-        let copies: Vec<(String, SocketAddr)> = match (self.defect, word) {
-            (Some(Defect::AskEveryVoter), Word::Ask(_)) | (Some(Defect::FetchEverywhere), Word::Fetch(_)) => {
+        let copies: Vec<(String, SocketAddr)> = match (self.defect, message) {
+            (Some(Defect::AskEveryVoter), Message::Ask(_))
+            | (Some(Defect::FetchEverywhere), Message::Fetch(_)) => {
                 self.voters.iter().filter(|(voter, _)| voter != to).cloned().collect()
             }
             _ => Vec::new(),
         };
         let known_address = address.or_else(|| self.members.find(to).map(|m| m.address));
-        self.count_sent(word, bytes.len());
+        self.count_sent(message, bytes.len());
         self.links.send(to, known_address, RULES_CHANNEL, bytes.clone());
         for (voter, address) in copies {
-            self.count_sent(word, bytes.len());
+            self.count_sent(message, bytes.len());
             self.links.send(&voter, Some(address), RULES_CHANNEL, bytes.clone());
         }
     }
--- a/crates/sandgap-rollout/src/carry.rs
+++ b/crates/sandgap-rollout/src/state_machine.rs
@@ -1,15 +1,15 @@
 //! The ledger and its controller as a state machine on the fleet's replicated log.
 
 use sandgap_agree::Rulebook;
-use sandgap_agree::rider::{Rider, Tag, Unreadable, View, Wish};
+use sandgap_agree::rider::{LeaderView, Rider, RiderProposal, Tag, Unreadable};
 use serde::{Deserialize, Serialize};
 
 use crate::controller::Controller;
 use crate::ledger::{Entry, Ledger, Phase, Verdict};
 use crate::limits::MAX_WATCHED;
-use crate::news::Orders;
+use crate::messages::Instructions;
 use crate::release_controller::cohort;
-use crate::target::{Side, Target};
+use crate::target::{Target, TargetKind};
 
 /// Tag of this state machine in the log.
 pub const TAG: Tag = 1;
@@ -57,7 +57,7 @@
 fn decode(entry: &[u8]) -> Result<Entry, Unreadable> {
     match postcard::take_from_bytes(entry) {
         Ok((entry, [])) => Ok(entry),
-        _ => Err(Unreadable::Foreign { what: "an entry", tag: TAG }),
+        _ => Err(Unreadable::OtherBuild { what: "an entry", tag: TAG }),
     }
 }
 
@@ -74,7 +74,7 @@
         self.ledger = match bytes.map(postcard::take_from_bytes) {
             None => Ledger::default(),
             Some(Ok((ledger, []))) => ledger,
-            Some(_) => return Err(Unreadable::Foreign { what: "its part of a snapshot", tag: TAG }),
+            Some(_) => return Err(Unreadable::OtherBuild { what: "its part of a snapshot", tag: TAG }),
         };
         self.controller = Controller::default();
         Ok(())
@@ -85,25 +85,25 @@
         Ok(postcard::to_stdvec(&verdict).unwrap_or_default())
     }
 
-    fn admits(&self, entry: &[u8]) -> Result<(), String> {
+    fn check_submission(&self, entry: &[u8]) -> Result<(), String> {
         match decode(entry).map_err(|e| e.to_string())? {
-            Entry::Seen(_)
+            Entry::UpdateTargets(_)
             | Entry::Grant { .. }
             | Entry::Drained { .. }
-            | Entry::Back { .. }
+            | Entry::Restored { .. }
             | Entry::Advance { .. } => Err("only the leader may propose this entry".into()),
-            Entry::Ask(asking) if asking.release.is_some() => {
+            Entry::RequestPermit(request) if request.release.is_some() => {
                 Err("only the leader may request permits for a release".into())
             }
             _ => Ok(()),
         }
     }
 
-    fn lead(&mut self, view: &View) -> Vec<Wish> {
+    fn proposals(&mut self, view: &LeaderView) -> Vec<RiderProposal> {
         self.controller.lead(&self.ledger, view)
     }
 
-    fn answer(&self, _: &[u8], view: &View) -> Vec<u8> {
+    fn answer(&self, _: &[u8], view: &LeaderView) -> Vec<u8> {
         let waits = self.controller.explain(&self.ledger, view);
         let reason = |permit: &crate::Permit| {
             let reason = match self.ledger.halted() {
@@ -113,29 +113,29 @@
                     Ok(()) => "others before it, or a word of the leader".into(),
                 },
             };
-            (permit.asking.id, reason)
+            (permit.request.id, reason)
         };
         let against = self.ledger.permits().filter(|p| p.grant.is_none()).map(reason).collect();
         postcard::to_stdvec(&Status { ledger: self.ledger.clone(), waits, against }).unwrap_or_default()
     }
 
-    fn tell(&self, proxy: &str) -> Vec<u8> {
+    fn message_for(&self, proxy: &str) -> Vec<u8> {
         if self.ledger.is_idle() {
             return Vec::new();
         }
         let out =
             self.ledger.phase(&Target::proxy(proxy)).is_some_and(|(_, phase)| phase != Phase::Returning);
-        let backends = self.ledger.granted().filter(|(t, ..)| t.side == Side::Backend);
+        let backends = self.ledger.granted().filter(|(t, ..)| t.kind == TargetKind::Backend);
         let watch = backends.map(|(t, ..)| t.name.clone()).take(MAX_WATCHED).collect();
         let (measure, cohort) = (self.ledger.wants_evidence(), cohort(&self.ledger));
-        Orders { out, watch, dial: true, measure, cohort }.encode()
+        Instructions { out, watch, dial: true, measure, cohort }.encode()
     }
 
-    fn bars(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
+    fn objection(&self, old: &Rulebook, new: &Rulebook) -> Option<String> {
         self.ledger.rules_conflict(old, new)
     }
 
-    fn skip(&mut self, numbers: u64) {
+    fn skip_numbers(&mut self, numbers: u64) {
         self.ledger.skip(numbers);
     }
 }
--- a/crates/sandgap-takeover/src/record.rs
+++ b/crates/sandgap-takeover/src/record.rs
@@ -1,4 +1,4 @@
-//! The replicated record of a request, the state it implies, and what an heir may do with it.
+//! The replicated record of a request, the state it implies, and what a successor may do with it.
 //!
 //! An owner acts on a step only after every keeper listed in the record has stored it. So each keeper's copy covers
 //! at least everything that may have happened: a request in state *taken* was never sent.
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sandgap_agree::Version;
-use sandgap_agree::lives::Life;
+use sandgap_agree::lives::ProcessId;
 use sandgap_fleet::{Drift, Time};
 use serde::{Deserialize, Serialize};
 
@@ -90,9 +90,9 @@
     /// Version of the rules in force when it was accepted.
     pub version: Version,
     /// All processes that keep the record. Changed only after one of them has ended.
-    pub keepers: Vec<Life>,
+    pub keepers: Vec<ProcessId>,
     /// The owner may continue without its keepers. A record without attempts then does not prove that none was sent.
-    pub alone: bool,
+    pub may_continue_without_keepers: bool,
     /// Increases with each step: of two records of one owner, the one with the higher step is later.
     pub step: u32,
     /// Attempts that may have been sent.
@@ -108,7 +108,7 @@
             Some(End::Answered(_)) => State::Done,
             Some(End::Refused) => State::Failed,
             Some(End::Unknown) => State::Unknown,
-            None if self.sent.is_empty() && !self.alone => State::Taken,
+            None if self.sent.is_empty() && !self.may_continue_without_keepers => State::Taken,
             None => State::MayHaveRun,
         }
     }
@@ -139,7 +139,7 @@
     }
 }
 
-/// A record as stored by a keeper or an heir, with times on that process's clock.
+/// A record as stored by a keeper or a successor, with times on that process's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Known {
     /// The latest record received.
@@ -159,7 +159,8 @@
         known
     }
 
-    /// Replaces the record by a later one of the same request and returns true. A delayed earlier record changes nothing.
+    /// Replaces the record by a later one of the same request and returns true. A delayed earlier record changes
+    /// nothing.
     pub fn advance(&mut self, now: Time, record: Record, drift: Drift) -> bool {
         let later = record.step > self.record.step;
         if later {
@@ -175,12 +176,13 @@
             Some(first) if self.until.is_none() => {
                 self.until = first.window.map(|window| now + drift.at_most(window));
             }
-            // If the first attempt did not run and a later one did, the window starts later; the earlier bound stays safe.
+            // If the first attempt did not run and a later one did, the window starts later; the earlier bound stays
+            // safe.
             Some(_) => {}
         }
     }
 
-    /// What an heir may do with the request now.
+    /// What a successor may do with the request now.
     pub fn plan(&self, now: Time) -> Plan {
         let left = self.deadline.saturating_sub(now);
         match (self.record.state(), self.record.effect) {
@@ -190,23 +192,26 @@
             (State::MayHaveRun, Effect::Safe) if left.is_zero() => Plan::End(End::Refused),
             (State::MayHaveRun, Effect::Safe) => Plan::Send,
             (State::MayHaveRun, Effect::Unsafe) => Plan::End(End::Unknown),
-            // An owner that continues alone does not wait for keepers: the window may have begun before this record came.
-            (State::MayHaveRun, Effect::Keyed) if self.record.alone => Plan::End(End::Unknown),
+            // An owner that continues alone does not wait for keepers: the window may have begun before this record
+            // came.
+            (State::MayHaveRun, Effect::Keyed) if self.record.may_continue_without_keepers => {
+                Plan::End(End::Unknown)
+            }
             (State::MayHaveRun, Effect::Keyed) => match self.until {
-                Some(until) if now < until && !left.is_zero() => Plan::Again(until),
+                Some(until) if now < until && !left.is_zero() => Plan::Repeat(until),
                 _ => Plan::End(End::Unknown),
             },
         }
     }
 }
 
-/// What an heir may do with a request.
+/// What a successor may do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
     /// Send it to any backend within the remaining deadline.
     Send,
     /// Send it within the group that deduplicates its first attempt, and not after this time.
-    Again(Time),
+    Repeat(Time),
     /// Record this end, and tell the client when it retries.
     End(End),
     /// It has already ended: tell the client when it retries.
@@ -215,8 +220,8 @@
 
 #[cfg(test)]
 pub(crate) mod tests {
+    use sandgap_agree::enrolment::MemberList;
     use sandgap_agree::lives::Enrolled;
-    use sandgap_agree::tenure::Roll;
 
     use super::*;
 
@@ -224,9 +229,10 @@
         Duration::from_millis(ms)
     }
 
-    pub(crate) fn roll(lives: &[Life]) -> Roll {
-        let enrolled = |life: &Life| Enrolled { draw: *life, name: format!("p{life}"), zone: None };
-        Roll::new(lives.iter().map(|life| (*life, enrolled(life))).collect())
+    pub(crate) fn member_list(lives: &[ProcessId]) -> MemberList {
+        let enrolled =
+            |life: &ProcessId| Enrolled { process_token: *life, name: format!("p{life}"), zone: None };
+        MemberList::new(lives.iter().map(|life| (*life, enrolled(life))).collect())
     }
 
     pub(crate) fn record(effect: Effect) -> Record {
@@ -238,7 +244,7 @@
             effect,
             version: 3,
             keepers: vec![2],
-            alone: false,
+            may_continue_without_keepers: false,
             step: 0,
             sent: vec![],
             end: None,
@@ -260,10 +266,10 @@
         for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
             let taken = record(effect);
             let out = taken.sending(sent(0)).expect("room");
-            let alone = Record { alone: true, ..taken.clone() };
+            let alone = Record { may_continue_without_keepers: true, ..taken.clone() };
             let again = match effect {
                 Effect::Safe => Plan::Send,
-                Effect::Keyed => Plan::Again(ms(2100)),
+                Effect::Keyed => Plan::Repeat(ms(2100)),
                 Effect::Unsafe => Plan::End(End::Unknown),
             };
             let doubtful = match effect {
@@ -303,7 +309,7 @@
         );
         assert_eq!(
             long_deadline.plan(ms(2097)),
-            Plan::Again(ms(2098)),
+            Plan::Repeat(ms(2098)),
             "a slow clock measures less than the window"
         );
         assert_eq!(long_deadline.plan(ms(2098)), Plan::End(End::Unknown));
--- a/crates/sandgap/src/discovery/mod.rs
+++ b/crates/sandgap/src/discovery/mod.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use wharfhitch::Scope;
 
-use crate::event::{Host, Inbox, Input};
+use crate::event::{Host, Input, InputSender};
 use crate::note;
 use assembly::{LineResult, ListAssembler};
 use lines::{Lines, get, open_watch};
@@ -34,19 +34,19 @@
         note!(warn: "discovery: an entry has no name; it is ignored");
         return None;
     };
-    let dial = entry["dial"].as_str().and_then(|d| d.parse().ok());
-    if dial.is_none() && entry["health"] != "removed" {
+    let address = entry["dial"].as_str().and_then(|d| d.parse().ok());
+    if address.is_none() && entry["health"] != "removed" {
         note!(warn: "discovery: {host} has no address");
     }
     Some(Host {
         host,
-        dial,
-        site: text("site"),
-        class: text("class"),
-        block: entry["block"].as_u64(),
+        address,
+        zone: text("site"),
+        kind: text("class"),
+        cell: entry["block"].as_u64(),
         health: text("health").unwrap_or_default(),
-        share: entry["share"].as_f64(),
-        born_ms: entry["born_ms"].as_f64().unwrap_or(0.0),
+        rating: entry["share"].as_f64(),
+        start_time_ms: entry["born_ms"].as_f64().unwrap_or(0.0),
     })
 }
 
@@ -87,7 +87,9 @@
 
 /// Follows discovery at the configured address. With `asked`, a watch is opened only when the decision library requests
 /// one. After a change of address the old service is read until the new one has sent its list.
-pub async fn follow(mut addresses: watch::Receiver<SocketAddr>, inbox: Inbox, asked: Option<Rc<Notify>>) {
+pub async fn follow(
+    mut addresses: watch::Receiver<SocketAddr>, input_sender: InputSender, asked: Option<Rc<Notify>>,
+) {
     let start = Instant::now();
     let active_number = Rc::new(Cell::new(0));
     let mut serving = JoinSet::new();
@@ -96,7 +98,7 @@
         let address = *addresses.borrow_and_update();
         let source = Watcher {
             address,
-            inbox: inbox.clone(),
+            input_sender: input_sender.clone(),
             start,
             order: ListOrder::new(number > 0),
             number,
@@ -128,7 +130,7 @@
 /// The watch of one address, with the list version known there.
 struct Watcher {
     address: SocketAddr,
-    inbox: Inbox,
+    input_sender: InputSender,
     /// Origin of the times that order calls and lists.
     start: Instant,
     /// Orders the lists from this address by age.
@@ -163,13 +165,13 @@
     async fn watch_on_request(mut self, asked: &Notify) {
         let (mut backoff, mut silent) = (BACKOFF.0, false);
         loop {
-            let waits = self.number == 0 || self.order.held().is_some();
+            let waits = self.number == 0 || self.order.resume_version().is_some();
             if waits {
                 asked.notified().await;
             }
             // After a silent watch the full list is requested: a resumed watch sends nothing while nothing changes,
             // and a second silence would be noticed too late.
-            let after = self.order.held().filter(|_| !silent);
+            let after = self.order.resume_version().filter(|_| !silent);
             let first = if silent { FULL_LIST_TIMEOUT } else { HEARTBEAT_TIMEOUT };
             let error = match open_watch(self.address, after, false).await {
                 Ok(lines) => {
@@ -185,9 +187,9 @@
             // Once there is a list, the next watch waits for the decision library's request, and the library makes none
             // before it learns that this watch has ended. That includes the first watch after a change of address,
             // which the library did not request.
-            if waits || self.order.held().is_some() {
+            if waits || self.order.resume_version().is_some() {
                 note!(warn: "discovery: {error}");
-                self.inbox.send(Input::List(Scope::Failed, Vec::new()));
+                self.input_sender.send(Input::List(Scope::Failed, Vec::new()));
                 continue;
             }
             note!(warn: "discovery: {error}; retrying in {} ms", backoff.as_millis());
@@ -220,7 +222,7 @@
         loop {
             // A resumed watch sends no list while nothing changes. After two silent watches the full list is requested,
             // which has to arrive at once.
-            let whole = silent > 1 || regressed || self.order.held().is_none();
+            let whole = silent > 1 || regressed || self.order.resume_version().is_none();
             let Some(mut lines) = self.reopen(old.take(), whole).await else { return };
             let before = self.lines_read;
             let error =
@@ -265,7 +267,7 @@
             self.lines_read += 1;
             let truncated = match assembly.push(&line) {
                 LineResult::Blank => {
-                    self.inbox.send(Input::DiscoveryAlive);
+                    self.input_sender.send(Input::DiscoveryAlive);
                     continue;
                 }
                 LineResult::Partial => continue,
@@ -286,7 +288,7 @@
     /// reports takes effect however late the new one is. Where calls are cheap, an unanswered call is hedged by
     /// another; elsewhere calls follow one another with backoff. `None` once discovery has moved to another address.
     async fn reopen(&mut self, mut old: Option<Lines>, whole: bool) -> Option<Lines> {
-        let after = self.order.held().filter(|_| !whole);
+        let after = self.order.resume_version().filter(|_| !whole);
         let old_began = old.as_ref().map(|lines| lines.began);
         let mut calls: JoinSet<Result<Lines, String>> = JoinSet::new();
         let mut wait = if self.pushed { HEDGE_DELAY } else { self.backoff() };
@@ -357,7 +359,7 @@
             after_gap: gap,
             call_began: call_began.saturating_duration_since(self.start),
         };
-        let held = self.order.held();
+        let resume_version = self.order.resume_version();
         let verdict = self.order.compare(self.start.elapsed(), arrived);
         log_list(&list, &hosts, verdict);
         let scope = if list.whole { Scope::Full } else { Scope::Delta };
@@ -366,16 +368,18 @@
                 return Err(WatchError::Unusable("changes arrived before any full list".into()));
             }
             Verdict::Unchanged => return Ok(()),
-            Verdict::Newer => self.inbox.send(Input::List(scope, hosts)),
-            Verdict::Uncertain { refetch: false } => self.inbox.send(Input::UncertainList(scope, hosts)),
+            Verdict::Newer => self.input_sender.send(Input::List(scope, hosts)),
+            Verdict::Uncertain { refetch: false } => {
+                self.input_sender.send(Input::UncertainList(scope, hosts))
+            }
             Verdict::Uncertain { refetch: true } => {
                 // Backends that it omits may have been added after it: only those that it names count.
-                self.inbox.send(Input::UncertainList(Scope::Delta, hosts));
+                self.input_sender.send(Input::UncertainList(Scope::Delta, hosts));
                 self.record_regression();
                 return Err(WatchError::Regressed(format!(
                     "{} after {}",
                     list.seq,
-                    held.unwrap_or_default()
+                    resume_version.unwrap_or_default()
                 )));
             }
         }
@@ -434,17 +438,17 @@
 }
 
 /// Requests the full list once.
-pub async fn fetch(address: SocketAddr, inbox: Inbox) {
+pub async fn fetch(address: SocketAddr, input_sender: InputSender) {
     let list = timeout(HEARTBEAT_TIMEOUT, async {
         let body = get(address, "").await?.rest().await?;
         serde_json::from_slice::<List>(&body).map_err(|e| format!("a malformed list: {e}"))
     });
     match list.await.unwrap_or_else(|_| Err("no answer".into())) {
         // It may be older than changes that a watch has delivered meanwhile.
-        Ok(list) => inbox.send(Input::UncertainList(Scope::Full, list.entries())),
+        Ok(list) => input_sender.send(Input::UncertainList(Scope::Full, list.entries())),
         Err(e) => {
             note!(warn: "discovery: {e}");
-            inbox.send(Input::List(Scope::Failed, Vec::new()));
+            input_sender.send(Input::List(Scope::Failed, Vec::new()));
         }
     }
 }
--- a/crates/sandgap/src/beliefs.rs
+++ b/crates/sandgap/src/limit_report.rs
@@ -12,7 +12,7 @@
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusRecorder};
 use rustc_hash::FxHashMap;
 use wharfhitch::limit::ChangeReason;
-use wharfhitch::{BackendId, Belief};
+use wharfhitch::{BackendId, LimitEstimate};
 
 use crate::diagnostics::Event;
 use crate::note;
@@ -25,7 +25,7 @@
 const WRITE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The state of the reports.
-pub struct Beliefs {
+pub struct LimitReport {
     /// The limit of each backend as last logged.
     last_logged: FxHashMap<BackendId, f64>,
     file: Option<MetricsFile>,
@@ -42,7 +42,7 @@
     failing: Arc<AtomicBool>,
 }
 
-impl Beliefs {
+impl LimitReport {
     /// Creates the reports; gauges are written to `file`, if there is one.
     pub fn new(file: Option<PathBuf>) -> Self {
         let file = file.map(|path| MetricsFile {
@@ -51,33 +51,34 @@
             busy: Arc::default(),
             failing: Arc::default(),
         });
-        Beliefs { last_logged: FxHashMap::default(), file }
+        LimitReport { last_logged: FxHashMap::default(), file }
     }
 
     /// Logs significant changes and writes the file if due. The work is bounded by the number of listed backends.
     pub fn update(
-        &mut self, now: Instant, beliefs: impl Iterator<Item = Belief>,
+        &mut self, now: Instant, estimates: impl Iterator<Item = LimitEstimate>,
         counts: &[(Event, &'static str, u64)], address: impl Fn(BackendId) -> Option<SocketAddr>,
     ) {
         let due = self.file.as_ref().is_some_and(|f| f.written.is_none_or(|at| now - at >= WRITE_INTERVAL));
-        // Created for each write: a recorder never drops a gauge, and over the years many backends are added and removed.
+        // Created for each write: a recorder never drops a gauge, and over the years many backends are added and
+        // removed.
         let recorder = due.then(recorder);
         let (mut lines, mut listed) = (0, 0);
-        for belief in beliefs {
+        for estimate in estimates {
             listed += 1;
-            let Some(address) = address(belief.backend) else { continue };
-            if lines < MAX_LINES && self.should_log(&belief) {
+            let Some(address) = address(estimate.backend) else { continue };
+            if lines < MAX_LINES && self.should_log(&estimate) {
                 lines += 1;
-                self.last_logged.insert(belief.backend, belief.limit);
+                self.last_logged.insert(estimate.backend, estimate.limit);
                 note!(
                     "{address} is believed to hold {:.1} requests (its rating says {:.1}): {}",
-                    belief.limit,
-                    belief.rated,
-                    belief.why.text()
+                    estimate.limit,
+                    estimate.rated,
+                    estimate.why.text()
                 );
             }
             if let Some(recorder) = &recorder {
-                gauge(recorder, &belief, address);
+                gauge(recorder, &estimate, address);
             }
         }
         if self.last_logged.len() > 2 * listed {
@@ -89,11 +90,11 @@
         }
     }
 
-    fn should_log(&self, belief: &Belief) -> bool {
-        let before = self.last_logged.get(&belief.backend).copied();
-        let is_unchanged = belief.why == ChangeReason::Rating && before.is_none();
-        let ratio = belief.limit / before.unwrap_or(belief.rated);
-        !belief.trial && !is_unchanged && !(1.0 / LOG_RATIO..=LOG_RATIO).contains(&ratio)
+    fn should_log(&self, estimate: &LimitEstimate) -> bool {
+        let before = self.last_logged.get(&estimate.backend).copied();
+        let is_unchanged = estimate.why == ChangeReason::Rating && before.is_none();
+        let ratio = estimate.limit / before.unwrap_or(estimate.rated);
+        !estimate.trial && !is_unchanged && !(1.0 / LOG_RATIO..=LOG_RATIO).contains(&ratio)
     }
 }
 
@@ -121,17 +122,17 @@
     });
 }
 
-fn gauge(recorder: &PrometheusRecorder, belief: &Belief, address: SocketAddr) {
+fn gauge(recorder: &PrometheusRecorder, estimate: &LimitEstimate, address: SocketAddr) {
     let backend = address.to_string();
     with_local_recorder(recorder, || {
-        metrics::gauge!("sandgap_backend_limit", "backend" => backend.clone()).set(belief.limit);
-        metrics::gauge!("sandgap_backend_rated", "backend" => backend).set(belief.rated);
+        metrics::gauge!("sandgap_backend_limit", "backend" => backend.clone()).set(estimate.limit);
+        metrics::gauge!("sandgap_backend_rated", "backend" => backend).set(estimate.rated);
     });
 }
 
 impl MetricsFile {
-    /// Writes the file atomically on a separate thread, so that a slow disk delays no request. Skipped while another write
-    /// is in progress.
+    /// Writes the file atomically on a separate thread, so that a slow disk delays no request. Skipped while another
+    /// write is in progress.
     fn write(&mut self, now: Instant, text: String) {
         self.written = Some(now);
         if self.busy.swap(true, Ordering::Relaxed) {
@@ -159,22 +160,28 @@
 mod tests {
     use super::*;
 
-    fn belief(backend: u64, limit: f64) -> Belief {
-        Belief { backend: BackendId(backend), rated: 1.0, limit, trial: false, why: ChangeReason::Grew }
+    fn estimate(backend: u64, limit: f64) -> LimitEstimate {
+        LimitEstimate {
+            backend: BackendId(backend),
+            rated: 1.0,
+            limit,
+            trial: false,
+            why: ChangeReason::Grew,
+        }
     }
 
     #[tokio::test]
     async fn the_file_contains_exactly_the_currently_listed_backends() {
         let path = std::env::temp_dir().join(format!("sandgap-beliefs-{}.prom", std::process::id()));
-        let mut beliefs = Beliefs::new(Some(path.clone()));
+        let mut report = LimitReport::new(Some(path.clone()));
         let address = |b: BackendId| Some(SocketAddr::from(([127, 0, 0, 1], b.0 as u16)));
         let start = Instant::now();
         for (i, (backend, gone)) in [(7001, 7002), (7002, 7001)].into_iter().enumerate() {
-            let file = beliefs.file.as_ref().expect("a file");
+            let file = report.file.as_ref().expect("a file");
             let busy = file.busy.clone();
-            beliefs.update(
+            report.update(
                 start + 2 * WRITE_INTERVAL * i as u32,
-                [belief(backend, 12.0)].into_iter(),
+                [estimate(backend, 12.0)].into_iter(),
                 &[],
                 address,
             );
--- a/crates/sandgap/src/rules/commands.rs
+++ b/crates/sandgap/src/rules/commands.rs
@@ -12,10 +12,10 @@
 
 use clap::{Args, Subcommand};
 use sandgap_agree::log::Saved;
-use sandgap_agree::machine::{Fate, Proposal, Seat, Verdict};
+use sandgap_agree::machine::{Proposal, Seat, Verdict, VersionState};
+use sandgap_agree::messages::{Message, Status, VoterChange};
 use sandgap_agree::store::{Opened, Store};
-use sandgap_agree::voter::fresh_seat;
-use sandgap_agree::words::{Seating, Status, Word};
+use sandgap_agree::voter::new_seat_number;
 use sandgap_agree::{Rulebook, Version, contradicts};
 use sandgap_fleet::link::{Incoming, Links};
 use sandgap_rollout::Entry;
@@ -267,9 +267,9 @@
     let seats: BTreeMap<u64, Seat> = fleet
         .voters
         .iter()
-        .map(|(name, address)| (fresh_seat(name, 0), Seat { name: name.clone(), address: *address }))
+        .map(|(name, address)| (new_seat_number(name, 0), Seat { name: name.clone(), address: *address }))
         .collect();
-    let saved = Saved::founding(fresh_seat(&fleet.name, 0), &seats);
+    let saved = Saved::initial(new_seat_number(&fleet.name, 0), &seats);
     Store::create(path, &saved).map_err(|e| CallError::Invalid(e.to_string()))?;
     let names: Vec<&str> = fleet.voters.iter().map(|(name, _)| name.as_str()).collect();
     println!("{}: created; the voters are {}", path.display(), names.join(", "));
@@ -279,7 +279,7 @@
 fn last_resort(fleet: &Fleet, sure: bool) -> Result<()> {
     let path = voter_store_path(fleet)?;
     let saved = match Store::open(path) {
-        Opened::Sound(_, saved) => saved,
+        Opened::Intact(_, saved) => saved,
         Opened::Missing => return Err(CallError::Invalid(format!("{}: there is no store", path.display()))),
         Opened::Damaged(why) | Opened::Unavailable(why) => {
             return Err(CallError::Invalid(format!("{}: {why}", path.display())));
@@ -299,8 +299,8 @@
             return Err(CallError::Rejected("nothing was changed".into()));
         }
     }
-    let alone = saved.alone(riders()).map_err(|e| CallError::Invalid(e.to_string()))?;
-    let aside = Store::replace(path, &alone).map_err(|e| CallError::Invalid(e.to_string()))?;
+    let recovered = saved.recover_as_sole_voter(riders()).map_err(|e| CallError::Invalid(e.to_string()))?;
+    let aside = Store::replace(path, &recovered).map_err(|e| CallError::Invalid(e.to_string()))?;
     println!(
         "{}: now the store of a fleet with one voter; the old store is {}. Start this proxy, then add other voters \
          with 'sandgap fleet voters add'; they start without a store",
@@ -364,7 +364,7 @@
 
     /// Asks the voters in turn, `first` before the others, until `take` accepts an answer.
     pub(super) async fn ask<T>(
-        &mut self, first: Option<&str>, message: Word, mut take: impl FnMut(Word) -> Option<T>,
+        &mut self, first: Option<&str>, message: Message, mut take: impl FnMut(Message) -> Option<T>,
     ) -> Result<T> {
         let mut voters = self.fleet.voters.clone();
         voters.sort_by_key(|(name, _)| Some(name.as_str()) != first);
@@ -375,7 +375,7 @@
                 let until = Instant::now() + ANSWER_TIMEOUT;
                 while let Some(left) = until.checked_duration_since(Instant::now()) {
                     let Ok(Some(incoming)) = timeout(left, self.incoming.recv()).await else { break };
-                    if let Some(taken) = Word::decode(&incoming.body).and_then(&mut take) {
+                    if let Some(taken) = Message::decode(&incoming.body).and_then(&mut take) {
                         return Ok(taken);
                     }
                 }
@@ -393,10 +393,10 @@
     async fn any_status(&mut self, first: Option<&str>) -> Result<Status> {
         let number = self.next_number();
         let take = move |message| match message {
-            Word::Status(n, status) if n == number => Some(status),
+            Message::Status(n, status) if n == number => Some(status),
             _ => None,
         };
-        let status = self.ask(first, Word::Query(number), take).await?;
+        let status = self.ask(first, Message::Query(number), take).await?;
         // The file may be older than the set of voters, so it may not name the leader.
         for voter in &status.voters {
             if !self.fleet.voters.iter().any(|(name, _)| *name == voter.0) {
@@ -440,10 +440,10 @@
             )));
         }
         let take = move |message| match message {
-            Word::Book(v, bytes) if v == version => Some(bytes),
+            Message::Book(v, bytes) if v == version => Some(bytes),
             _ => None,
         };
-        let bytes = self.ask(Some(&status.voter), Word::Fetch(version), take).await?;
+        let bytes = self.ask(Some(&status.voter), Message::Fetch(version), take).await?;
         Rulebook::decode(&bytes).map_err(|e| CallError::Invalid(e.to_string()))
     }
 
@@ -496,19 +496,19 @@
         let leader = self.leader().await?;
         let parent = parent.unwrap_or(leader.standing.version);
         let id = self.next_number();
-        let message = Word::Publish(Proposal { id, parent, book, by: caller_name(), why });
+        let message = Message::Publish(Proposal { id, parent, book, by: caller_name(), why });
         let take = move |message| match message {
-            Word::Published(n, verdict) if n == id => Some(verdict),
+            Message::Published(n, verdict) if n == id => Some(verdict),
             _ => None,
         };
         let version = match self.ask(Some(&leader.voter), message, take).await? {
-            Verdict::PutForward(version) | Verdict::Again(version) => version,
-            Verdict::Lost { standing } => {
+            Verdict::Pending(version) | Verdict::Duplicate(version) => version,
+            Verdict::StaleParent { standing } => {
                 let text =
                     format!("version {standing} is in force, not {parent}: review it and publish again");
                 return Err(CallError::Conflict(text));
             }
-            Verdict::Busy(other) => {
+            Verdict::OtherPending(other) => {
                 return Err(CallError::Conflict(format!(
                     "version {other} is under way: wait for it and publish again"
                 )));
@@ -517,9 +517,9 @@
         };
         loop {
             let status = self.leader().await?;
-            let fate = status.history.iter().find(|l| l.version == version).map(|l| l.fate.clone());
+            let fate = status.history.iter().find(|l| l.version == version).map(|l| l.state.clone());
             match fate {
-                Some(Fate::Stood) => {
+                Some(VersionState::InForce) => {
                     if self.json {
                         println!("{}", json!({"version": version, "in_force": true}));
                     } else {
@@ -527,12 +527,12 @@
                     }
                     return Ok(());
                 }
-                Some(Fate::Abandoned(why)) => {
+                Some(VersionState::Abandoned(why)) => {
                     let reasons: Vec<String> = why.iter().map(|(who, why)| format!("{who}: {why}")).collect();
                     let text = format!("version {version} was not switched to:\n  {}", reasons.join("\n  "));
                     return Err(CallError::Rejected(text));
                 }
-                Some(Fate::Pending) | None => sleep(POLL_INTERVAL).await,
+                Some(VersionState::Pending) | None => sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -564,11 +564,11 @@
     async fn history(&mut self) -> Result<()> {
         let status = self.leader().await?;
         for line in &status.history {
-            let fate = match &line.fate {
-                Fate::Pending => "put forward".to_owned(),
-                Fate::Stood if line.version == status.standing.version => "in force".to_owned(),
-                Fate::Stood => "was in force".to_owned(),
-                Fate::Abandoned(why) => {
+            let fate = match &line.state {
+                VersionState::Pending => "put forward".to_owned(),
+                VersionState::InForce if line.version == status.standing.version => "in force".to_owned(),
+                VersionState::InForce => "was in force".to_owned(),
+                VersionState::Abandoned(why) => {
                     let who: Vec<&str> = why.iter().map(|(who, _)| who.as_str()).collect();
                     format!("abandoned for {}", who.join(", "))
                 }
@@ -608,7 +608,7 @@
             return Ok(());
         }
         let s = &status.standing;
-        let bound = config.fleet.as_ref().map_or(Duration::ZERO, |f| f.terms.span.bound);
+        let bound = config.fleet.as_ref().map_or(Duration::ZERO, |f| f.timing.lease_bound.bound);
         println!("version {} ({}) in force, T {} ms", s.version, s.digest, bound.as_millis());
         if let Some((version, digest)) = &s.pending {
             println!(
@@ -634,7 +634,7 @@
     async fn wait(&mut self, version: Version) -> Result<()> {
         loop {
             let status = self.leader().await?;
-            let live = self.fleet.terms.live().as_millis() as u64;
+            let live = self.fleet.timing.lease_horizon().as_millis() as u64;
             let behind: Vec<&str> = status
                 .members
                 .iter()
@@ -656,23 +656,23 @@
 
     async fn voters(&mut self, how: VotersCommand) -> Result<()> {
         match how {
-            VotersCommand::Add { name, address } => self.change_voters(Seating::Add(name, address)).await,
-            VotersCommand::Remove { name } => self.change_voters(Seating::Remove(name)).await,
+            VotersCommand::Add { name, address } => self.change_voters(VoterChange::Add(name, address)).await,
+            VotersCommand::Remove { name } => self.change_voters(VoterChange::Remove(name)).await,
             VotersCommand::Replace { old, name, address } => {
                 // The new voter is added first, so that the number of voters never drops.
-                self.change_voters(Seating::Add(name, address)).await?;
-                self.change_voters(Seating::Remove(old)).await
+                self.change_voters(VoterChange::Add(name, address)).await?;
+                self.change_voters(VoterChange::Remove(old)).await
             }
         }
     }
 
     /// Requests a change of the voters until the leader reports it as done.
-    async fn change_voters(&mut self, change: Seating) -> Result<()> {
+    async fn change_voters(&mut self, change: VoterChange) -> Result<()> {
         let is_done = |status: &Status| match &change {
-            Seating::Add(name, _) | Seating::Rebuild { name, .. } => {
+            VoterChange::Add(name, _) | VoterChange::Rebuild { name, .. } => {
                 status.voters.iter().any(|(v, _)| v == name)
             }
-            Seating::Remove(name) => status.voters.iter().all(|(v, _)| v != name),
+            VoterChange::Remove(name) => status.voters.iter().all(|(v, _)| v != name),
         };
         let mut why = String::new();
         while Instant::now() < self.end {
@@ -684,10 +684,10 @@
             }
             let number = self.next_number();
             let take = move |message| match message {
-                Word::Seated(n, why) if n == number => Some(why),
+                Message::VotersChanged(n, why) if n == number => Some(why),
                 _ => None,
             };
-            why = self.ask(Some(&status.voter), Word::Seat(number, change.clone()), take).await?;
+            why = self.ask(Some(&status.voter), Message::ChangeVoters(number, change.clone()), take).await?;
             sleep(POLL_INTERVAL).await;
         }
         Err(CallError::Rejected(if why.is_empty() {
--- a/crates/sandgap/src/rules/runtime.rs
+++ b/crates/sandgap/src/rules/runtime.rs
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 
 use sandgap_agree::log::{Saved, Write};
+use sandgap_agree::messages::Message;
 use sandgap_agree::store::{Opened, Store};
-use sandgap_agree::words::Word;
 use sandgap_agree::{Agent, Output, Rulebook, Version};
 use sandgap_fleet::link::{Incoming, Links};
-use sandgap_fleet::members::{Gossip, Pace};
+use sandgap_fleet::members::{Gossip, ProbeTiming};
 use sandgap_fleet::{Identity, Members};
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, spawn_local};
@@ -24,7 +24,7 @@
 use super::watch::Watch;
 use super::{Rules, SharedAgent, book, now, riders};
 use crate::config::Fleet;
-use crate::event::{Inbox, Input};
+use crate::event::{Input, InputSender};
 use crate::front::Frontend;
 use crate::note;
 use crate::retry;
@@ -48,13 +48,13 @@
 
 /// The parts of the process that the runtime uses.
 #[derive(Clone)]
-pub struct Parts {
+pub struct Dependencies {
     /// Decides whether requests may be admitted.
     pub rules: Rc<Rules>,
     /// Takes over changed settings.
     pub front: Rc<Frontend>,
     /// Passes changes to the decision library.
-    pub inbox: Inbox,
+    pub input_sender: InputSender,
     /// The settings at the start, for everything that rules don't cover.
     pub base: Settings,
     /// Whether its backends come from discovery.
@@ -63,7 +63,7 @@
 
 /// The runtime of an agent; see the module documentation.
 pub struct Runtime {
-    parts: Parts,
+    dependencies: Dependencies,
     /// The driven agent, which is in use or will be.
     agent: SharedAgent,
     fleet: Fleet,
@@ -88,7 +88,7 @@
 
 /// An agent of this fleet without any state.
 pub fn agent(fleet: &Fleet) -> Agent {
-    Agent::new(now(), &fleet.name, fleet.terms, fleet.voters.clone(), random_u64())
+    Agent::new(now(), &fleet.name, fleet.timing, fleet.voters.clone(), random_u64())
 }
 
 impl Runtime {
@@ -96,13 +96,13 @@
     ///
     /// # Errors
     /// If the address or the disk can't be used.
-    async fn as_member(parts: Parts, fleet: Fleet) -> Result<Self, String> {
+    async fn as_member(dependencies: Dependencies, fleet: Fleet) -> Result<Self, String> {
         let on = fleet.listen;
         let what = format!("fleet on {on}");
         let listener = retry::retry_transient(&what, || socket::listen(on)).await;
         let listener = listener.map_err(|e| format!("{what}: {e}"))?;
         let agent = Rc::new(RefCell::new(agent(&fleet)));
-        let mut runtime = Self::new(parts, fleet, agent);
+        let mut runtime = Self::new(dependencies, fleet, agent);
         if let Some(path) = runtime.fleet.store.clone().filter(|_| runtime.fleet.is_voter()) {
             runtime.open_voter_store(&path)?;
         }
@@ -112,29 +112,29 @@
     }
 
     /// Asks for leases under a separate name while the older process still holds this proxy's name and address.
-    fn as_guest(parts: Parts, mut fleet: Fleet) -> Self {
+    fn as_guest(dependencies: Dependencies, mut fleet: Fleet) -> Self {
         fleet.name = format!("{:.40}~{}", fleet.name, std::process::id());
         let agent = Rc::new(RefCell::new(agent(&fleet)));
-        parts.rules.use_agent(agent.clone());
-        Self::new(parts, fleet, agent)
+        dependencies.rules.use_agent(agent.clone());
+        Self::new(dependencies, fleet, agent)
     }
 
-    fn new(parts: Parts, fleet: Fleet, agent: SharedAgent) -> Self {
+    fn new(dependencies: Dependencies, fleet: Fleet, agent: SharedAgent) -> Self {
         let (sender, incoming) = mpsc::channel(INCOMING_QUEUE);
         let links = Links::new(fleet.key.clone(), fleet.name.clone(), sender);
         let incarnation = now().as_millis() as u64;
         let (name, zone) = (fleet.name.clone(), fleet.zone.clone());
         let me = Identity { name, address: fleet.listen, incarnation, zone };
-        let members = Members::new(me, Pace::default(), random_u64());
+        let members = Members::new(me, ProbeTiming::default(), random_u64());
         let kept_version = fleet.kept_version_path.clone().map(KeptVersion::new);
-        let watch = Watch::new(parts.clone(), agent.clone(), fleet.is_voter(), fleet.zone.clone());
-        Runtime { parts, agent, fleet, members, links, incoming, disk: None, kept_version, watch }
+        let watch = Watch::new(dependencies.clone(), agent.clone(), fleet.is_voter(), fleet.zone.clone());
+        Runtime { dependencies, agent, fleet, members, links, incoming, disk: None, kept_version, watch }
     }
 
     /// Opens the voter's store. A missing or damaged store is replaced by a blank one with a new seat.
     fn open_voter_store(&mut self, path: &Path) -> Result<(), String> {
         let (store, saved) = match Store::open(path) {
-            Opened::Sound(store, saved) => (store, saved),
+            Opened::Intact(store, saved) => (store, saved),
             Opened::Unavailable(why) => return Err(format!("{}: {why}", path.display())),
             Opened::Missing => {
                 note!(warn:
@@ -144,7 +144,7 @@
                 create_blank_store(path)?
             }
             Opened::Damaged(why) => {
-                let aside = Store::set_aside(path).map_err(|e| e.to_string())?;
+                let aside = Store::move_aside(path).map_err(|e| e.to_string())?;
                 note!(error:
                     "{}: {why}; moved to {}. This voter takes no part until the others have rebuilt it",
                     path.display(), aside.display()
@@ -172,8 +172,8 @@
             Some((version, Ok(book))) => match self.put_in_force(&book) {
                 Ok(()) => {
                     note!("rules: version {version} was kept; classes that serve without a lease go by it");
-                    self.parts.rules.record_unleased_classes(&book);
-                    self.parts.rules.kept_version.set(version);
+                    self.dependencies.rules.record_unleased_classes(&book);
+                    self.dependencies.rules.kept_version.set(version);
                 }
                 Err(e) => note!(warn: "rules: the kept version {version} can't be used: {e}"),
             },
@@ -217,13 +217,13 @@
 
     fn run_timers(&mut self) {
         let at = now();
-        let gossip = self.members.fire(at);
+        let gossip = self.members.run_due_timers(at);
         self.send_gossip(gossip);
         if self.agent.borrow().next_due() <= at {
             let others = self.members.present().into_iter().map(|m| m.name);
             let others = others.filter(|name| *name != self.fleet.name).collect();
             let mut agent = self.agent.borrow_mut();
-            agent.present(others);
+            agent.set_peers(others);
             agent.fire(at);
         }
         self.process_outputs();
@@ -233,12 +233,12 @@
         let Incoming { from, channel, body } = incoming;
         match channel {
             MEMBERS_CHANNEL => {
-                let gossip = self.members.hear(now(), &body);
+                let gossip = self.members.handle_message(now(), &body);
                 self.send_gossip(gossip);
             }
             RULES_CHANNEL => {
-                if let Some(message) = Word::decode(&body) {
-                    self.agent.borrow_mut().hear(now(), &from, message);
+                if let Some(message) = Message::decode(&body) {
+                    self.agent.borrow_mut().receive(now(), &from, message);
                     self.process_outputs();
                 }
             }
@@ -283,7 +283,7 @@
             let output = self.agent.borrow_mut().poll();
             let Some(output) = output else { return };
             match output {
-                Output::Say(to, address, message) => {
+                Output::Send(to, address, message) => {
                     let known = address.or_else(|| self.members.find(&to).map(|m| m.address));
                     self.links.send(&to, self.dial_address(&to, known), RULES_CHANNEL, message.encode());
                 }
@@ -296,17 +296,17 @@
                     self.agent.borrow_mut().checked(now(), version, usable);
                 }
                 Output::Act(version, rules) => self.activate(version, &rules),
-                Output::Told(orders) => self.watch.apply_orders(&orders),
-                Output::Turn(_) => {} // the daemon does not use lives yet
-                Output::Note(text) => note!("{text}"),
+                Output::RiderMessages(messages) => self.watch.apply_instructions(&messages),
+                Output::Enrolment(_) => {} // the daemon does not use lives yet
+                Output::Log(text) => note!("{text}"),
             }
         }
     }
 
     fn check(&self, rules: &Rulebook) -> Result<(), String> {
-        book::check(rules, self.parts.discovery)?;
-        let (settings, names) = book::settings(rules, &self.parts.base);
-        self.parts.front.check_settings(&settings, &names)
+        book::check(rules, self.dependencies.discovery)?;
+        let (settings, names) = book::settings(rules, &self.dependencies.base);
+        self.dependencies.front.check_settings(&settings, &names)
     }
 
     fn activate(&mut self, version: Version, rules: &Rulebook) {
@@ -314,7 +314,7 @@
         // here.
         match self.put_in_force(rules) {
             Ok(()) => {
-                self.parts.rules.record_unleased_classes(rules);
+                self.dependencies.rules.record_unleased_classes(rules);
                 note!("rules: version {version} in force");
                 self.keep(version, rules);
             }
@@ -326,12 +326,12 @@
     }
 
     fn put_in_force(&self, rules: &Rulebook) -> Result<(), String> {
-        let (settings, names) = book::settings(rules, &self.parts.base);
-        let change = self.parts.front.change(&settings, &names)?;
-        self.parts.inbox.send(Input::Change(Box::new(change)));
+        let (settings, names) = book::settings(rules, &self.dependencies.base);
+        let change = self.dependencies.front.change(&settings, &names)?;
+        self.dependencies.input_sender.send(Input::Change(Box::new(change)));
         match book::hosts(rules) {
-            Some(hosts) => self.parts.inbox.send(Input::List(Scope::Full, hosts)),
-            None => self.parts.inbox.send(Input::Drains(rules.drained.clone())),
+            Some(hosts) => self.dependencies.input_sender.send(Input::List(Scope::Full, hosts)),
+            None => self.dependencies.input_sender.send(Input::Drains(rules.drained.clone())),
         }
         Ok(())
     }
@@ -354,11 +354,11 @@
 
 /// Joins the fleet. While an older process still holds the address, as in an upgrade, this process asks for leases as a
 /// guest. Once the address is free it joins as a member, and switches over when it has a lease as a member.
-pub async fn serve(parts: Parts, fleet: Fleet) {
+pub async fn serve(dependencies: Dependencies, fleet: Fleet) {
     let mut guest: Option<JoinHandle<()>> = None;
     let mut logged_at: Option<Instant> = None;
     let mut member = loop {
-        match Runtime::as_member(parts.clone(), fleet.clone()).await {
+        match Runtime::as_member(dependencies.clone(), fleet.clone()).await {
             Ok(runtime) => break runtime,
             Err(e) => {
                 if logged_at.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
@@ -366,7 +366,7 @@
                     logged_at = Some(Instant::now());
                 }
                 let start_guest = || {
-                    let mut runtime = Runtime::as_guest(parts.clone(), fleet.clone());
+                    let mut runtime = Runtime::as_guest(dependencies.clone(), fleet.clone());
                     spawn_local(async move { runtime.run(false).await })
                 };
                 guest.get_or_insert_with(start_guest);
@@ -377,11 +377,11 @@
     member.announce();
     if let Some(guest) = guest {
         member.run(true).await;
-        parts.rules.use_agent(member.agent.clone());
+        dependencies.rules.use_agent(member.agent.clone());
         guest.abort();
         note!("rules: the place in the fleet is this process's now");
     } else {
-        parts.rules.use_agent(member.agent.clone());
+        dependencies.rules.use_agent(member.agent.clone());
     }
     member.run(false).await;
 }
@@ -391,13 +391,13 @@
     let agent = rules.agent();
     let leads = agent.borrow().voter().is_some_and(|v| v.leads());
     if leads {
-        agent.borrow_mut().retire(now());
+        agent.borrow_mut().hand_over_lead(now());
         sleep(RETIRE_WAIT).await;
     }
 }
 
 /// Creates a blank store with a new seat.
 fn create_blank_store(path: &Path) -> Result<(Store, Saved), String> {
-    let saved = Saved::blank(random_u64().max(1));
+    let saved = Saved::empty(random_u64().max(1));
     Ok((Store::create(path, &saved).map_err(|e| e.to_string())?, saved))
 }
--- a/crates/sandgap/src/settings/fleet.rs
+++ b/crates/sandgap/src/settings/fleet.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use hyper::header::HeaderName;
-use sandgap_agree::Span;
-use sandgap_agree::Terms;
+use sandgap_agree::LeaseBound;
+use sandgap_agree::Timing;
 use sandgap_fleet::Drift;
 use sandgap_fleet::frame::Key;
-use sandgap_fleet::limits::NAME;
+use sandgap_fleet::limits::MAX_NAME_BYTES;
 
 use super::check::Reader;
 use super::{File, check_unique};
@@ -22,8 +22,9 @@
         return None;
     };
     let name = file.proxy.name.clone();
-    for name in file.voter.iter().map(|v| &v.name).chain([&name]).filter(|n| n.len() > NAME) {
-        reader.add_without_line(format!("'{name}': a name in a fleet may have at most {NAME} bytes"));
+    for name in file.voter.iter().map(|v| &v.name).chain([&name]).filter(|n| n.len() > MAX_NAME_BYTES) {
+        reader
+            .add_without_line(format!("'{name}': a name in a fleet may have at most {MAX_NAME_BYTES} bytes"));
     }
     check_unique("voter", file.voter.iter().map(|v| v.name.as_str()), reader);
     check_unique("way", file.way.iter().map(|w| w.to.as_str()), reader);
@@ -52,13 +53,13 @@
         header => header.and_then(Result::ok),
     };
     let bound = Duration::from_secs_f64(file.fleet.bound_ms / 1000.0);
-    let span = Span { bound, drift: Drift::ppm(file.fleet.drift_ppm) };
+    let lease_bound = LeaseBound { bound, drift: Drift::ppm(file.fleet.drift_ppm) };
     Some(Fleet {
         name,
         zone: file.proxy.zone.clone(),
         listen,
         key,
-        terms: Terms::new(span, file.fleet.order == "apart"),
+        timing: Timing::new(lease_bound, file.fleet.order == "apart"),
         voters: file.voter.iter().map(|v| (v.name.clone(), v.address)).collect(),
         dial_addresses: file.way.iter().map(|w| (w.to.clone(), w.address)).collect(),
         store: file.fleet.store.clone(),
