--- a/crates/sandgap/tests/sigterm_connections.rs
+++ b/crates/sandgap/tests/sigterm_connections.rs
@@ -8,6 +8,9 @@
 
 /// Number of connections of each kind.
 const PER_KIND: usize = 20;
+/// Number of backends. The proxy sends held requests to a backend one by one, spaced by the latency that it expects. On a
+/// loaded machine a single backend would not get all of them within their clients' 5 s.
+const BACKENDS: usize = 4;
 
 /// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,9 +23,13 @@
     Lost,
 }
 
-fn ended(client: &mut Client, backend: &Backend, id: &str) -> End {
+fn requests(backends: &[Backend]) -> Vec<Message> {
+    backends.iter().flat_map(Backend::requests).collect()
+}
+
+fn ended(client: &mut Client, backends: &[Backend], id: &str) -> End {
     let answer = client.answer();
-    let reached = backend.requests().iter().any(|m| m.id() == id);
+    let reached = requests(backends).iter().any(|m| m.id() == id);
     match answer {
         Some(a) if a.status() == 200 && a.text() == "well" && client.is_closed() => End::Served,
         None if !reached => End::NotProcessed,
@@ -36,13 +43,15 @@
 #[test]
 fn every_connection_open_at_sigterm_gets_an_answer_or_a_close_before_processing() {
     let gate = Gate::default();
-    let held = gate.clone();
-    let backend = Backend::with(move |request| match request.id().starts_with("held") {
-        true => Action::Hold(held.clone(), ok("well")),
-        false => Action::Write(ok("well")),
+    let backends: [Backend; BACKENDS] = std::array::from_fn(|_| {
+        let held = gate.clone();
+        Backend::with(move |request| match request.id().starts_with("held") {
+            true => Action::Hold(held.clone(), ok("well")),
+            false => Action::Write(ok("well")),
+        })
     });
     let discovery = Discovery::new();
-    discovery.publish(&list_all_up(&[&backend]));
+    discovery.publish(&list_all_up(&backends.each_ref()));
     let setup = Setup { sockets: 1024, ..Setup::default() };
     let mut proxy = Proxy::up(&discovery, &setup);
     let open = || -> Vec<Client> { (0..PER_KIND).map(|_| Client::new(&proxy)).collect() };
@@ -58,7 +67,7 @@
         piped[n].send(&(whole(&name("held-first", n)) + &whole(&name("second", n))));
         prompt[n].send(&whole(&name("held-prompt", n)));
     }
-    wait_for("the held requests", || backend.requests().len() == PER_KIND * 4);
+    wait_for("the held requests", || requests(&backends).len() == PER_KIND * 4);
     // Opened only now, as connections that are silent for long are closed in any case.
     let (mut silent, mut head, mut body) = (open(), open(), open());
     for n in 0..PER_KIND {
@@ -81,20 +90,20 @@
         body[n].send(&text[text.len() - 2..]);
     }
     for n in 0..PER_KIND {
-        note("idle, then a request", ended(&mut idle[n], &backend, &name("idle", n)));
-        note("nothing sent yet", ended(&mut silent[n], &backend, &name("silent", n)));
-        note("half a head", ended(&mut head[n], &backend, &name("head", n)));
-        note("half a body", ended(&mut body[n], &backend, &name("body", n)));
+        note("idle, then a request", ended(&mut idle[n], &backends, &name("idle", n)));
+        note("nothing sent yet", ended(&mut silent[n], &backends, &name("silent", n)));
+        note("half a head", ended(&mut head[n], &backends, &name("head", n)));
+        note("half a body", ended(&mut body[n], &backends, &name("body", n)));
     }
     gate.open();
     for n in 0..PER_KIND {
-        note("a request open", ended(&mut busy[n], &backend, &name("held-busy", n)));
-        note("one open, one behind it", ended(&mut piped[n], &backend, &name("held-first", n)));
+        note("a request open", ended(&mut busy[n], &backends, &name("held-busy", n)));
+        note("one open, one behind it", ended(&mut piped[n], &backends, &name("held-first", n)));
         let answer = prompt[n].answer().expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
         // Sent after the answer that announces the close.
         prompt[n].send(&whole(&name("prompt", n)));
-        note("one more with the last answer", ended(&mut prompt[n], &backend, &name("prompt", n)));
+        note("one more with the last answer", ended(&mut prompt[n], &backends, &name("prompt", n)));
     }
     println!("{ends:#?}");
     assert!(proxy.wait().success());
@@ -106,8 +115,8 @@
     {
         assert_eq!(served(kind), PER_KIND, "{kind}: {ends:?}");
     }
-    let twice = |id: &str| backend.requests().iter().filter(|m| m.id() == id).count() > 1;
+    let twice = |id: &str| requests(&backends).iter().filter(|m| m.id() == id).count() > 1;
     assert!((0..PER_KIND).all(|n| !twice(&name("idle", n)) && !twice(&name("held-busy", n))));
-    let behind = backend.requests().iter().filter(|m| m.id().starts_with("second")).count();
+    let behind = requests(&backends).iter().filter(|m| m.id().starts_with("second")).count();
     assert_eq!(behind, 0, "requests behind the last answer are not processed, as its client is told");
 }
